--- a/packages/daemon/cassiaquay_daemon/decisions/quarantine.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/quarantine.py
@@ -106,7 +106,7 @@
         found = self._suspects.get(content)
         return found is not None and self._is_held(found)
 
-    def turned_away(self, content: str) -> None:
+    def record_refusal(self, content: str) -> None:
         """Keep a held request for as long as its caller retries."""
         found = self._suspects.get(content)
         if found is not None:
--- a/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
@@ -58,7 +58,7 @@
         """Return whether a request must be refused; its caller has just sent it."""
         if not self._quarantine.holds(content):
             return False
-        self._quarantine.turned_away(content)
+        self._quarantine.record_refusal(content)
         return True
 
     def crashed(self, content: str, server: str) -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -68,7 +68,7 @@
         time.now += 90.0
         assert held.digest
         assert held.holds("poison")
-        held.turned_away("poison")
+        held.record_refusal("poison")
     time.now += 110.0
     assert held.digest == 0
     assert not held.holds("poison")
