--- a/packages/daemon/cassiaquay_daemon/decisions/quarantine.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/quarantine.py
@@ -66,12 +66,12 @@
 
     Attributes
     ----------
-    has_forgotten : callable
+    is_history_lost : callable
         Tells whether earlier knowledge was lost; one crash less is enough then.
     """
 
     def __init__(self, settings: settings_schema.Settings):
-        self.has_forgotten: collections.abc.Callable[[], bool] = bool
+        self.is_history_lost: collections.abc.Callable[[], bool] = bool
         self._gateway = settings.gateway
         self._suspects: collections.OrderedDict[str, _Suspect]
         self._suspects = collections.OrderedDict()
@@ -166,7 +166,7 @@
             return False
         missing = self._gateway.quarantine_crashes - len(found.servers)
         if missing == 1 and found.servers:
-            return self.has_forgotten()
+            return self.is_history_lost()
         return missing <= 0
 
     def _see(self, content: str, found: _Suspect, seen_at: float) -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -85,12 +85,12 @@
 def test_what_nobody_remembers_is_held_sooner(time) -> None:
     """Guards against a request that crashes servers anew after all instances died."""
     held = _quarantine()
-    held.has_forgotten = lambda: True
+    held.is_history_lost = lambda: True
     held.crashed("poison", "i-1")
     assert not held.holds("poison")
     held.crashed("poison", "i-2")
     assert held.holds("poison")
-    held.has_forgotten = lambda: False
+    held.is_history_lost = lambda: False
     assert not held.holds("poison")
 
 
