--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -186,7 +186,7 @@
         now = clock.now()
         for server in demand.avoid:
             self._refused[server] = now
-            self.rations.cold.doubted(server)
+            self.rations.cold.suspect_restart(server)
         if not prefixes.consistent(demand.blocks, demand.block_count):
             # An owner of another version samples otherwise: no affinity is better
             # than a wrong one.
--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -143,7 +143,7 @@
             for name in [name for name in known if name not in terms]:
                 del known[name]
 
-    def doubted(self, server: str) -> None:
+    def suspect_restart(self, server: str) -> None:
         """Take in that a server refuses connections or has fallen silent.
 
         It may have crashed. The list shows its new start seconds after it serves again,
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -102,7 +102,7 @@
     """A server that crashed serves again seconds before the list shows its start."""
     cold = _cold()
     cold.update(_fleet(e1=_server("e1")))
-    cold.doubted("e1")
+    cold.suspect_restart("e1")
     time.now += COLD_SECONDS
     assert cold.is_cold("e1")
     cold.answered("e1")
@@ -119,7 +119,7 @@
     """
     cold = _cold()
     cold.update(_fleet(e1=_server("e1")))
-    cold.doubted("e1")
+    cold.suspect_restart("e1")
     time.now += COLD_SECONDS + slow_start.REPORT_SECONDS + 0.01
     assert not cold.is_cold("e1")
 
@@ -132,7 +132,7 @@
     text = _fleet()
     text.pools["engines"] = pool
     cold.update(text)
-    cold.doubted("e1")
+    cold.suspect_restart("e1")
     pool.servers[0] = _server("e1", started_ms=2, cold_ms=9)
     cold.update(text)
     assert not cold.cold_servers()
@@ -244,7 +244,7 @@
             while kind == "ask" and keeper.rations.allows("e1"):
                 keeper.rations.granted("e1", 1500)
                 granted.append(time.now)
-            cold.doubted("e1")
+            cold.suspect_restart("e1")
         # A permit may be used at any moment of its life, so those of that much more
         # than a second may all arrive within one.
         span = 1.0 + slow_start.PERMIT_MS / 1000.0
