--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -264,7 +264,7 @@
                 continue
             found = self.load(running.server).start(step.id, at)
             self._refused.pop(running.server, None)
-            self.rations.cold.answered(running.server)
+            self.rations.cold.confirm_alive(running.server)
             if found is None:
                 continue
             self.running[step.id] = self.running[step.id]._replace(
--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -157,7 +157,7 @@
             _log(server, seconds, "doubted")
         self._doubted_until[server] = clock.now() + seconds
 
-    def answered(self, server: str) -> None:
+    def confirm_alive(self, server: str) -> None:
         """Take in a sign of life."""
         if self._is_doubted(server):
             del self._doubted_until[server]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -105,7 +105,7 @@
     cold.suspect_restart("e1")
     time.now += COLD_SECONDS
     assert cold.is_cold("e1")
-    cold.answered("e1")
+    cold.confirm_alive("e1")
     time.now += COLD_SECONDS - 0.01
     assert cold.is_cold("e1")
     time.now += 0.02
