--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -228,7 +228,7 @@
     def __init__(self, cold: SlowStart):
         self.cold = cold
         # Part of the fleet's instances that this keeper hears.
-        self.heard: collections.abc.Callable[[], float] = _all
+        self.reachable_share: collections.abc.Callable[[], float] = _all
         self.granted_count = 0
         self._known: dict[str, Ration] = {}
 
@@ -239,7 +239,9 @@
             return None
         found = self._known.get(server)
         if found is None:
-            found = self._known[server] = Ration(self.cold.flow(server), self.heard)
+            found = self._known[server] = Ration(
+                self.cold.flow(server), self.reachable_share
+            )
         return found
 
     def allows(self, server: str) -> bool:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -203,9 +203,9 @@
     """One keeper's view of one cold server."""
 
     def __init__(self, cold: slow_start.SlowStart):
-        self.heard = 1.0
+        self.reachable_share = 1.0
         self.rations = slow_start.Rations(cold)
-        self.rations.heard = lambda: self.heard
+        self.rations.reachable_share = lambda: self.reachable_share
 
 
 EVENTS = strategies.lists(
@@ -236,9 +236,12 @@
             if kind == "wait":
                 time.now += amount
             elif kind == "split":
-                keepers[0].heard, keepers[1].heard = amount * 2, 1.0 - amount * 2
+                keepers[0].reachable_share, keepers[1].reachable_share = (
+                    amount * 2,
+                    1.0 - amount * 2,
+                )
             elif kind == "heal":
-                keepers[0].heard = keepers[1].heard = 1.0
+                keepers[0].reachable_share = keepers[1].reachable_share = 1.0
             elif kind in ("move", "restart"):
                 keeper.rations.forget()
             while kind == "ask" and keeper.rations.allows("e1"):
