--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -166,7 +166,7 @@
         self.rations.forget()
 
     @property
-    def unheard(self) -> set[str]:
+    def unreported_owners(self) -> set[str]:
         """Owners that have not reported what is outstanding; empty once open."""
         return set() if self.is_open else self._unheard
 
--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -272,7 +272,7 @@
         return names if len(names) <= MOST_ASKED else None
 
     def _ask(self, shard: shards.Shard) -> None:
-        for owner in sorted(shard.unheard):
+        for owner in sorted(shard.unreported_owners):
             if owner == self._settings.instance:
                 self._ask_local(shard.name)
                 continue
