--- a/packages/daemon/cassiaquay_daemon/decisions/buckets.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/buckets.py
@@ -69,7 +69,7 @@
         self._fill(flow)
         self._level -= amount
 
-    def put_back(self, amount: float) -> None:
+    def refund(self, amount: float) -> None:
         """Take back what was spent for something that never ran."""
         self._level += amount
 
--- a/packages/daemon/cassiaquay_daemon/keepers/quotas.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/quotas.py
@@ -198,7 +198,7 @@
     def give_back(self, taken: Taken) -> None:
         """Give back what a request took that never ran; once for each request."""
         if taken.own is not None:
-            taken.own.put_back(taken.units)
+            taken.own.refund(taken.units)
             return
         message = messages.QuotaReturn(taken.number)
         if taken.keeper == self._settings.instance:
@@ -307,7 +307,7 @@
         # that was given up with the role takes back what no one spends any more.
         given = self._returnable.pop((asker, message.number), None)
         if given is not None:
-            given.bucket.put_back(given.units)
+            given.bucket.refund(given.units)
 
     def _quota(self, team: str) -> routing.Quota | None:
         snapshot = self._configured.current
--- a/tests/test_quota_schedules.py
+++ b/tests/test_quota_schedules.py
@@ -276,13 +276,13 @@
         if (asker, message.number) in self._returnable:
             take_back(self, asker, message)
             return
-        quotas._bucket(self._given, "blue", self._given_from).put_back(90)
+        quotas._bucket(self._given, "blue", self._given_from).refund(90)
 
     monkeypatch.setattr(quotas.Quotas, "_take_back", trusting)
 
     def give_back(self, taken) -> None:
         if taken.own is not None:
-            taken.own.put_back(taken.units)
+            taken.own.refund(taken.units)
             return
         keeper = self._membership.keeper_of("quota blue")
         message = messages.QuotaReturn(taken.number)
