--- a/packages/daemon/cassiaquay_daemon/decisions/prefixes.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/prefixes.py
@@ -4,7 +4,7 @@
 fifth past the one before, and the last :data:`TAIL` full blocks. The first bound the
 error for any two prompts that share a prefix to a fifth; the last make it exact for a
 session, whose prompts differ in their last few blocks. Owner and keeper both use
-`positions`, so that the place of a hash in a demand says which block it is of.
+`sampled_numbers`, so that the place of a hash in a demand says which block it is of.
 """
 
 import collections.abc
@@ -37,7 +37,7 @@
 
 
 @functools.lru_cache(maxsize=MAX_BLOCKS + 1)
-def positions(count: int) -> tuple[int, ...]:
+def sampled_numbers(count: int) -> tuple[int, ...]:
     """Return the numbers of the blocks that stand for a prompt of ``count`` blocks."""
     found = {number for number in SAMPLED if number <= count}
     found.update(range(max(count - TAIL, 0) + 1, count + 1))
@@ -50,10 +50,10 @@
 
 
 def blocks(prompt: str) -> list[int]:
-    """Return the hashes of the blocks at `positions`."""
+    """Return the hashes of the blocks at `sampled_numbers`."""
     found: list[int] = []
     count = block_count(prompt)
-    wanted = positions(count)
+    wanted = sampled_numbers(count)
     previous = 0
     for number in range(1, count + 1):
         block = prompt[(number - 1) * BLOCK_CHARACTERS : number * BLOCK_CHARACTERS]
@@ -66,9 +66,9 @@
 
 def tokens_at(count: int, index: int) -> int:
     """Return the prompt tokens up to the hash at ``index`` of ``count`` blocks'."""
-    return positions(count)[index] * BLOCK_TOKENS
+    return sampled_numbers(count)[index] * BLOCK_TOKENS
 
 
 def consistent(hashes: collections.abc.Sequence[int], count: int) -> bool:
     """Tell whether a demand carries as many hashes as its block count says."""
-    return 0 <= count <= MAX_BLOCKS and len(hashes) == len(positions(count))
+    return 0 <= count <= MAX_BLOCKS and len(hashes) == len(sampled_numbers(count))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -287,7 +287,7 @@
     prompt = "lace " * 6000
     hashes = blocks.block_hashes(prompt)
     count = prefixes.block_count(prompt)
-    wanted = [hashes[number - 1] for number in prefixes.positions(count)]
+    wanted = [hashes[number - 1] for number in prefixes.sampled_numbers(count)]
     assert prefixes.blocks(prompt) == wanted
     assert len(wanted) < 40
 
