--- a/packages/daemon/cassiaquay_daemon/decisions/policies.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/policies.py
@@ -45,7 +45,7 @@
 
 
 @typing.runtime_checkable
-class Explaining(typing.Protocol):
+class ExplainingPolicy(typing.Protocol):
     """A policy that can tell operators how it weighs the servers."""
 
     def explain(self, demand: messages.Demand) -> list[Weighed]:
--- a/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
+++ b/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
@@ -51,7 +51,7 @@
     parts: reports.Parts, shard: shards.Shard, demand: messages.Demand
 ) -> dict[str, policies.Weighed]:
     policy = parts.kept.policy(shard.name)
-    if not isinstance(policy, policies.Explaining):
+    if not isinstance(policy, policies.ExplainingPolicy):
         return {}
     return {item.server: item for item in policy.explain(demand)}
 
