--- a/packages/daemon/cassiaquay_daemon/decisions/policies.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/policies.py
@@ -53,7 +53,7 @@
 
 
 @typing.runtime_checkable
-class Caching(typing.Protocol):
+class CacheAwarePolicy(typing.Protocol):
     """A policy that reckons with the prefix caches of engines."""
 
     def cache_changed(self, server: str, stored: bool, blocks: list[int]) -> None:
--- a/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
@@ -151,7 +151,7 @@
             requests = report.running + report.waiting
             shard.load(server.name).report(requests, report.age_ms / 1000, clock.now())
             policy = self._keeper.policy(shard.name)
-            if not isinstance(policy, policies.Caching):
+            if not isinstance(policy, policies.CacheAwarePolicy):
                 return
             after = self._sequences.get(server.name, 0)
             found = await reader.events(server, after)
