--- a/packages/daemon/cassiaquay_daemon/decisions/objectives.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/objectives.py
@@ -173,7 +173,7 @@
             found.append(messages.RankWait(rank, wait * 1000.0, step * 1000.0))
         return found
 
-    def explain(self, demand: messages.Demand) -> list[policies.Weighed]:
+    def explain(self, demand: messages.Demand) -> list[policies.ServerEstimate]:
         """Return what each open server would mean for a demand, for operators."""
         now = clock.now()
         self._servers.refresh()
@@ -186,7 +186,7 @@
             finish = expected.first_seconds
             finish += demand.output_tokens * expected.event_seconds
             found.append(
-                policies.Weighed(
+                policies.ServerEstimate(
                     item.server.name,
                     choice is not None and not choice.is_late,
                     0,
--- a/packages/daemon/cassiaquay_daemon/decisions/policies.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/policies.py
@@ -19,7 +19,7 @@
         """Take in what a finished request cost; its permit is still known."""
 
 
-class Weighed(typing.NamedTuple):
+class ServerEstimate(typing.NamedTuple):
     """What one backend server would mean for a demand, as a policy estimates it.
 
     Attributes
@@ -48,7 +48,7 @@
 class ExplainingPolicy(typing.Protocol):
     """A policy that can tell operators how it weighs the servers."""
 
-    def explain(self, demand: messages.Demand) -> list[Weighed]:
+    def explain(self, demand: messages.Demand) -> list[ServerEstimate]:
         """Return what each open server would mean for a demand."""
 
 
--- a/packages/daemon/cassiaquay_daemon/decisions/tiered.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/tiered.py
@@ -166,7 +166,7 @@
         full = all(view.is_full for view in views)
         self._drain.note(full and len(self._queues) > 0)
 
-    def explain(self, demand: messages.Demand) -> list[policies.Weighed]:
+    def explain(self, demand: messages.Demand) -> list[policies.ServerEstimate]:
         """Return what each open server would mean for a demand, for operators."""
         now = clock.now()
         self._update(now)
@@ -174,7 +174,7 @@
         for view in self._look(now):
             choice = placement.choose(demand, view)
             found.append(
-                policies.Weighed(
+                policies.ServerEstimate(
                     view.name,
                     choice.fits,
                     choice.cached_tokens,
--- a/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
+++ b/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
@@ -49,7 +49,7 @@
 
 def _weighed(
     parts: reports.Parts, shard: shards.Shard, demand: messages.Demand
-) -> dict[str, policies.Weighed]:
+) -> dict[str, policies.ServerEstimate]:
     policy = parts.kept.policy(shard.name)
     if not isinstance(policy, policies.ExplainingPolicy):
         return {}
@@ -74,7 +74,7 @@
 def _verdict(
     shard: shards.Shard,
     name: str,
-    weighed: policies.Weighed | None,
+    weighed: policies.ServerEstimate | None,
     is_evacuated: bool,
 ) -> bodies.ServerVerdict:
     server = shard.servers[name]
