--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -138,7 +138,7 @@
         self.find_sibling: collections.abc.Callable[[Waiting, float], str] = _nowhere
         self.waits: collections.abc.Callable[[], list[messages.RankWait]] = list
         self.cutoffs = priority_cutoffs.PriorityCutoffs()
-        self.rations = slow_start.Rations(cold or slow_start.SlowStart(settings))
+        self.rations = slow_start.ColdBudgets(cold or slow_start.SlowStart(settings))
         self._refused: dict[str, float] = {}
         self._loads: dict[str, loads.Load] = {}
         self._observers: list[Observer] = []
--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -216,7 +216,7 @@
         _log(server, seconds, cause)
 
 
-class Rations:
+class ColdBudgets:
     """What the keeper of one shard may grant to its cold servers.
 
     Parameters
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -146,7 +146,7 @@
         self.cold = _cold()
         self.cold.update(_fleet(e1=_server("e1"), e2=_server("e2")))
         self.cold.update(_fleet(e1=_server("e1", started_ms=2), e2=_server("e2")))
-        self.shard.rations = slow_start.Rations(self.cold)
+        self.shard.rations = slow_start.ColdBudgets(self.cold)
         for name in SERVERS:
             self.know(name, 100_000.0, 0.005)
         assert not self.shard.rations.allows("e1")
@@ -204,7 +204,7 @@
 
     def __init__(self, cold: slow_start.SlowStart):
         self.reachable_share = 1.0
-        self.rations = slow_start.Rations(cold)
+        self.rations = slow_start.ColdBudgets(cold)
         self.rations.reachable_share = lambda: self.reachable_share
 
 
