--- a/packages/daemon/cassiaquay_daemon/decisions/candidates.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/candidates.py
@@ -121,7 +121,7 @@
         usual = self._usual_failing(servers)
         for server in servers:
             load = self._shard.load(server.name)
-            ration = self._shard.rations.of(server.name)
+            ration = self._shard.cold_budgets.of(server.name)
             found = Candidate(server, load, self.times[server.name], usual, ration)
             self.open.append(found)
             if not self._shard.is_refusing(server.name):
--- a/packages/daemon/cassiaquay_daemon/decisions/objectives.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/objectives.py
@@ -396,7 +396,7 @@
             needed = 1 if tokens else 2
             if load.silent(patience, now) >= needed:
                 known.doubt(now, seconds)
-                self._shard.rations.cold.suspect_restart(server)
+                self._shard.cold_budgets.cold.suspect_restart(server)
 
     def _times_of(self, server: str) -> service_times.ServiceTimes:
         found = self._shard.servers.get(server)
--- a/packages/daemon/cassiaquay_daemon/decisions/placement.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/placement.py
@@ -58,7 +58,7 @@
         """Whether nothing at all fits now."""
         return (
             self.held
-            or not self._shard.rations.allows(self.name)
+            or not self._shard.cold_budgets.allows(self.name)
             or self._load.count + self._foreign >= self.engine.server.slots
             or self.backlog > BACKLOG_SECONDS
         )
--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -138,7 +138,9 @@
         self.find_sibling: collections.abc.Callable[[Waiting, float], str] = _nowhere
         self.waits: collections.abc.Callable[[], list[messages.RankWait]] = list
         self.cutoffs = priority_cutoffs.PriorityCutoffs()
-        self.rations = slow_start.ColdBudgets(cold or slow_start.SlowStart(settings))
+        self.cold_budgets = slow_start.ColdBudgets(
+            cold or slow_start.SlowStart(settings)
+        )
         self._refused: dict[str, float] = {}
         self._loads: dict[str, loads.Load] = {}
         self._observers: list[Observer] = []
@@ -163,7 +165,7 @@
         # are full already: callers would see every answer come late.
         self._unheard = {"nobody"} if owners is None else set(owners)
         self._opens_at = clock.now() + self.settings.keeper.renew_seconds * 1.5
-        self.rations.forget()
+        self.cold_budgets.forget()
 
     @property
     def unreported_owners(self) -> set[str]:
@@ -186,7 +188,7 @@
         now = clock.now()
         for server in demand.avoid:
             self._refused[server] = now
-            self.rations.cold.suspect_restart(server)
+            self.cold_budgets.cold.suspect_restart(server)
         if not prefixes.consistent(demand.blocks, demand.block_count):
             # An owner of another version samples otherwise: no affinity is better
             # than a wrong one.
@@ -264,7 +266,7 @@
                 continue
             found = self.load(running.server).start(step.id, at)
             self._refused.pop(running.server, None)
-            self.rations.cold.confirm_alive(running.server)
+            self.cold_budgets.cold.confirm_alive(running.server)
             if found is None:
                 continue
             self.running[step.id] = self.running[step.id]._replace(
@@ -299,7 +301,7 @@
         keeper = self.settings.keeper
         # Nobody renews a permit that is not in use; without news of a dispatch the
         # capacity comes back right after the permit's end.
-        permit_ms = self.rations.granted(server, keeper.permit_ms)
+        permit_ms = self.cold_budgets.granted(server, keeper.permit_ms)
         expires_at = now + permit_ms / 1000.0 + NEWS_SECONDS
         tokens = demand.prompt_tokens + demand.output_tokens
         running = Running(
--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -257,7 +257,7 @@
             return None
         shard = shards.Shard(name, self._settings, self.cold)
         shard.close(self._owners())
-        shard.rations.reachable_share = self._heard
+        shard.cold_budgets.reachable_share = self._heard
         shard.may_shed = functools.partial(self._floors.ready, name)
         shard.find_sibling = functools.partial(self._spillover.move, name)
         self.shards[name] = shard
--- a/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
+++ b/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
@@ -87,7 +87,7 @@
         verdict = "leaving: gets no new work"
     elif count >= server.slots:
         verdict = "all slots taken"
-    elif not shard.rations.allows(name):
+    elif not shard.cold_budgets.allows(name):
         verdict = "cold: gets more in a moment"
     elif weighed is not None and not weighed.fits:
         verdict = "full: unread prompts or tokens in flight"
--- a/packages/daemon/cassiaquay_daemon/operators/views.py
+++ b/packages/daemon/cassiaquay_daemon/operators/views.py
@@ -134,7 +134,7 @@
         return "evacuated"
     if server.name in shard.gone:
         return "leaving"
-    cold = shard.rations.cold
+    cold = shard.cold_budgets.cold
     if cold.is_cold(server.name):
         return f"cold, {cold.seconds_left(server.name):.1f} s left"
     return "open"
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -146,10 +146,10 @@
         self.cold = _cold()
         self.cold.update(_fleet(e1=_server("e1"), e2=_server("e2")))
         self.cold.update(_fleet(e1=_server("e1", started_ms=2), e2=_server("e2")))
-        self.shard.rations = slow_start.ColdBudgets(self.cold)
+        self.shard.cold_budgets = slow_start.ColdBudgets(self.cold)
         for name in SERVERS:
             self.know(name, 100_000.0, 0.005)
-        assert not self.shard.rations.allows("e1")
+        assert not self.shard.cold_budgets.allows("e1")
 
     def granted(self, server: str) -> list[str]:
         """Return the requests that a server got."""
@@ -204,8 +204,8 @@
 
     def __init__(self, cold: slow_start.SlowStart):
         self.reachable_share = 1.0
-        self.rations = slow_start.ColdBudgets(cold)
-        self.rations.reachable_share = lambda: self.reachable_share
+        self.cold_budgets = slow_start.ColdBudgets(cold)
+        self.cold_budgets.reachable_share = lambda: self.reachable_share
 
 
 EVENTS = strategies.lists(
@@ -243,9 +243,9 @@
             elif kind == "heal":
                 keepers[0].reachable_share = keepers[1].reachable_share = 1.0
             elif kind in ("move", "restart"):
-                keeper.rations.forget()
-            while kind == "ask" and keeper.rations.allows("e1"):
-                keeper.rations.granted("e1", 1500)
+                keeper.cold_budgets.forget()
+            while kind == "ask" and keeper.cold_budgets.allows("e1"):
+                keeper.cold_budgets.granted("e1", 1500)
                 granted.append(time.now)
             cold.suspect_restart("e1")
         # A permit may be used at any moment of its life, so those of that much more
@@ -261,9 +261,9 @@
     """What the keeper before has granted is not known to the next one."""
     site = Site(time)
     time.now += 1.0
-    assert site.shard.rations.allows("e1")
+    assert site.shard.cold_budgets.allows("e1")
     site.shard.close()
-    assert not site.shard.rations.allows("e1")
+    assert not site.shard.cold_budgets.allows("e1")
 
 
 def test_a_refused_connection_makes_a_server_cold(time) -> None:
@@ -276,7 +276,7 @@
 
 def test_shards_need_no_slow_start() -> None:
     found = shards.Shard(fakes.SHARD, fakes.settings())
-    assert found.rations.allows("anything")
+    assert found.cold_budgets.allows("anything")
 
 
 def test_changed_settings_bind_from_the_next_list_on(time) -> None:
