--- a/packages/daemon/cassiaquay_daemon/decisions/candidates.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/candidates.py
@@ -46,7 +46,7 @@
     load: loads.Load
     times: service_times.ServiceTimes
     usual_failing: float
-    ration: slow_start.Ration | None = None
+    ration: slow_start.ColdBudget | None = None
 
     @property
     def capacity(self) -> int:
--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -58,7 +58,7 @@
     is_evacuated: bool
 
 
-class Ration:
+class ColdBudget:
     """What one keeper may still grant to one cold server.
 
     Parameters
@@ -230,16 +230,16 @@
         # Part of the fleet's instances that this keeper hears.
         self.reachable_share: collections.abc.Callable[[], float] = _all
         self.granted_count = 0
-        self._known: dict[str, Ration] = {}
+        self._known: dict[str, ColdBudget] = {}
 
-    def of(self, server: str) -> Ration | None:
+    def of(self, server: str) -> ColdBudget | None:
         """Return what a cold server may still get; None for one that is warm."""
         if not self.cold.is_cold(server):
             self._known.pop(server, None)
             return None
         found = self._known.get(server)
         if found is None:
-            found = self._known[server] = Ration(
+            found = self._known[server] = ColdBudget(
                 self.cold.flow(server), self.reachable_share
             )
         return found
