--- a/packages/daemon/cassiaquay_daemon/decisions/candidates.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/candidates.py
@@ -46,7 +46,7 @@
     load: loads.Load
     times: service_times.ServiceTimes
     usual_failing: float
-    ration: slow_start.ColdBudget | None = None
+    cold_budget: slow_start.ColdBudget | None = None
 
     @property
     def capacity(self) -> int:
@@ -72,13 +72,15 @@
     def free_slots(self) -> int:
         """Requests that it may get now, where it may get any."""
         free = self.capacity - self.load.count
-        return free if self.ration is None else min(free, self.ration.available)
+        return (
+            free if self.cold_budget is None else min(free, self.cold_budget.available)
+        )
 
     def has_slot(self, now: float) -> bool:
         """Tell whether one more request may go there now."""
         if self.load.count >= self.capacity or self.times.is_silent(now):
             return False
-        if self.ration is not None and not self.ration.available:
+        if self.cold_budget is not None and not self.cold_budget.available:
             return False
         if not self.times.is_broken(now):
             return True
@@ -121,8 +123,8 @@
         usual = self._usual_failing(servers)
         for server in servers:
             load = self._shard.load(server.name)
-            ration = self._shard.cold_budgets.of(server.name)
-            found = Candidate(server, load, self.times[server.name], usual, ration)
+            cold_budget = self._shard.cold_budgets.of(server.name)
+            found = Candidate(server, load, self.times[server.name], usual, cold_budget)
             self.open.append(found)
             if not self._shard.is_refusing(server.name):
                 self._reachable.append(found)
@@ -152,10 +154,10 @@
         """Return the seconds until free slots of cold servers may be used."""
         found: list[float] = []
         for item in self.open:
-            if item.ration is None:
+            if item.cold_budget is None:
                 continue
             free = item.capacity - item.load.count
-            waits = item.ration.waits(max(free, 0))
+            waits = item.cold_budget.waits(max(free, 0))
             found += [seconds for seconds in waits if seconds > 0.0]
         return found
 
--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -246,15 +246,15 @@
 
     def allows(self, server: str) -> bool:
         """Tell whether a server may have one more request now."""
-        ration = self.of(server)
-        return ration is None or ration.available > 0
+        cold_budget = self.of(server)
+        return cold_budget is None or cold_budget.available > 0
 
     def granted(self, server: str, permit_ms: int) -> int:
         """Note a grant; return for how many milliseconds its permit may live."""
-        ration = self.of(server)
-        if ration is None:
+        cold_budget = self.of(server)
+        if cold_budget is None:
             return permit_ms
-        ration.use()
+        cold_budget.use()
         self.granted_count += 1
         return min(permit_ms, PERMIT_MS)
 
