--- a/tests/objectives_fakes.py
+++ b/tests/objectives_fakes.py
@@ -48,7 +48,7 @@
         self.policy.learn(release)
         self.shard.drop(request_id)
 
-    def know(self, server: str, rate: float, event_seconds: float) -> None:
+    def set_speed(self, server: str, rate: float, event_seconds: float) -> None:
         """Let the policy know a server's speed."""
         found = self.policy._times_of(server)
         found.rate = rate
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -25,8 +25,8 @@
 def test_a_long_answer_goes_to_the_fast_engine(time) -> None:
     """Engines differ fourfold; on the slow one the answer would miss its deadline."""
     bench = objectives_fakes.Bench(time, {"slow": 8, "fast": 1})
-    bench.know("slow", 20_000.0, 0.08)
-    bench.know("fast", 75_000.0, 0.018)
+    bench.set_speed("slow", 20_000.0, 0.08)
+    bench.set_speed("fast", 75_000.0, 0.018)
     bench.demand(name="long", events=300)
     bench.demand(name="short", events=4)
     bench.serve()
@@ -39,7 +39,7 @@
     Their callers would see a pause over 300 ms in answers that were in time so far.
     """
     bench = objectives_fakes.Bench(time, {"slow": 8})
-    bench.know("slow", 20_000.0, 0.08)
+    bench.set_speed("slow", 20_000.0, 0.08)
     bench.demand(name="runs")
     bench.serve()
     bench.start("runs")
@@ -90,7 +90,7 @@
 def test_what_gets_a_slot_in_time_waits_for_it(time) -> None:
     """The slot comes free in 50 ms, and the objective is 400 ms away."""
     bench = objectives_fakes.Bench(time, {"a": 1})
-    bench.know("a", 75_000.0, 0.018)
+    bench.set_speed("a", 75_000.0, 0.018)
     bench.demand(name="runs", events=3)
     bench.serve()
     bench.start("runs")
@@ -136,7 +136,7 @@
     Refused each time it came, its caller would never be served at all.
     """
     bench = objectives_fakes.Bench(time, {"a": 4})
-    bench.know("a", 75_000.0, 0.018)
+    bench.set_speed("a", 75_000.0, 0.018)
     bench.demand(name="giant", prompt=50_000, first_ms=600)
     bench.serve()
     assert bench.owner.permits() == {"giant": "a"}
@@ -144,7 +144,7 @@
 
 def test_a_giant_waits_for_a_slot_without_being_refused(time) -> None:
     bench = objectives_fakes.Bench(time, {"a": 1})
-    bench.know("a", 75_000.0, 0.018)
+    bench.set_speed("a", 75_000.0, 0.018)
     bench.demand(name="runs", events=60)
     bench.serve()
     bench.start("runs")
@@ -234,7 +234,7 @@
     """
     bench = objectives_fakes.Bench(time, {"a": 2, "b": 2})
     for name in ("a", "b"):
-        bench.know(name, 75_000.0, 0.022)
+        bench.set_speed(name, 75_000.0, 0.022)
     bench.demand(name="longest", events=400, remaining_ms=10_000)
     bench.serve()
     assert "longest" in bench.owner.permits()
@@ -247,7 +247,7 @@
     its time has nearly passed, and be refused then. It is refused when it comes.
     """
     bench = objectives_fakes.Bench(time, {"a": 1})
-    bench.know("a", 75_000.0, 0.05)
+    bench.set_speed("a", 75_000.0, 0.05)
     bench.demand(name="runs", events=20)
     bench.serve()
     bench.start("runs")
@@ -266,7 +266,7 @@
     is served late.
     """
     bench = objectives_fakes.Bench(time, {"a": 1})
-    bench.know("a", 75_000.0, 0.025)
+    bench.set_speed("a", 75_000.0, 0.025)
     bench.demand(name="runs", events=20)
     bench.serve()
     bench.start("runs")
@@ -287,7 +287,7 @@
     reckoning, it would leave that slot to a lower tier.
     """
     bench = objectives_fakes.Bench(time, {"a": 1})
-    bench.know("a", 75_000.0, 0.025)
+    bench.set_speed("a", 75_000.0, 0.025)
     bench.demand(name="runs", events=20)
     bench.serve()
     bench.start("runs")
@@ -297,7 +297,7 @@
     time.now += 0.1
     grown = messages.Outstanding("runs", "", "", 0, "a", 600, 20, 60)
     bench.shard.renew("cq-1", [grown])
-    bench.know("a", 75_000.0, 0.025)
+    bench.set_speed("a", 75_000.0, 0.025)
     bench.serve()
     assert name not in bench.owner.sheds()
     time.now += 0.1
--- a/tests/test_servers_health.py
+++ b/tests/test_servers_health.py
@@ -50,8 +50,8 @@
     moment one request tries it, and its first sign of life brings all back.
     """
     bench = objectives_fakes.Bench(time, {"mute": 9, "b": 9})
-    bench.know("mute", 75_000.0, 0.01)
-    bench.know("b", 75_000.0, 0.02)
+    bench.set_speed("mute", 75_000.0, 0.01)
+    bench.set_speed("b", 75_000.0, 0.02)
     first = bench.demand()
     bench.serve()
     assert bench.owner.permits()[first] == "mute"
@@ -85,8 +85,8 @@
 def test_a_server_that_fails_quietly_is_the_last_choice(time) -> None:
     """Its health check is good and it answers half of its requests with an error."""
     bench = objectives_fakes.Bench(time, {"grey": 9, "b": 9})
-    bench.know("grey", 75_000.0, 0.01)
-    bench.know("b", 75_000.0, 0.02)
+    bench.set_speed("grey", 75_000.0, 0.01)
+    bench.set_speed("b", 75_000.0, 0.02)
     name = bench.demand()
     bench.serve()
     assert bench.owner.permits()[name] == "grey"
@@ -106,8 +106,8 @@
 def test_a_server_that_had_the_request_is_left_out(time) -> None:
     """One answered with an error; to the others' requests it is as good as before."""
     bench = objectives_fakes.Bench(time, {"a": 9, "b": 9})
-    bench.know("a", 75_000.0, 0.01)
-    bench.know("b", 75_000.0, 0.02)
+    bench.set_speed("a", 75_000.0, 0.01)
+    bench.set_speed("b", 75_000.0, 0.02)
     bench.demand(name="again", tried=["a"])
     bench.demand(name="other")
     bench.serve()
@@ -117,7 +117,7 @@
 def test_a_server_started_again_is_another_one(time) -> None:
     """It has the same name, and nothing of what was learned of it holds."""
     bench = objectives_fakes.Bench(time, {"a": 9})
-    bench.know("a", 1_000.0, 1.0)
+    bench.set_speed("a", 1_000.0, 1.0)
     old = bench.shard.servers["a"]
     bench.shard.servers["a"] = type(old)(
         name="a", address=old.address, slots=9, started_ms=5
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -148,7 +148,7 @@
         self.cold.update(_fleet(e1=_server("e1", started_ms=2), e2=_server("e2")))
         self.shard.cold_budgets = slow_start.ColdBudgets(self.cold)
         for name in SERVERS:
-            self.know(name, 100_000.0, 0.005)
+            self.set_speed(name, 100_000.0, 0.005)
         assert not self.shard.cold_budgets.allows("e1")
 
     def granted(self, server: str) -> list[str]:
