--- a/packages/daemon/cassiaquay_daemon/decisions/forecasts.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/forecasts.py
@@ -12,7 +12,7 @@
 
 # A stream whose first event is this late is given up by its caller, who waits at least
 # two seconds; what waits longer is read for nobody.
-PATIENCE_SECONDS = 1.8
+ABANDON_SECONDS = 1.8
 # An answer that is longer than its caller said goes on for about this share of what it
 # has already. Taken to end at once, all that overrun look like slots that are about to
 # come free, and demands wait for them until their time has passed.
@@ -66,7 +66,7 @@
         """Return the estimated wait for a slot behind ``ahead`` others."""
         ends = self._free_at
         if not ends:
-            return PATIENCE_SECONDS
+            return ABANDON_SECONDS
         rate = self._arriving.rate_above(rank)
         wait = ends[min(ahead, len(ends) - 1)]
         place = min(ahead + int(rate * wait), len(ends) - 1)
--- a/packages/daemon/cassiaquay_daemon/decisions/objectives.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/objectives.py
@@ -41,7 +41,7 @@
 # Share of the time left that an answer may take by its estimate: the callers' hints of
 # its length are right only at the median.
 FINISH_SHARE = 0.8
-PATIENCE_SECONDS = forecasts.PATIENCE_SECONDS
+ABANDON_SECONDS = forecasts.ABANDON_SECONDS
 # A prompt whose reading takes more than this share of its objective is long: in a queue
 # of any length it is late.
 LONG_SHARE = 0.5
@@ -301,7 +301,7 @@
         return shedding.retry_after_ms((waiting.deadline - now) * RETRY_AFTER_SHARE)
 
     def _is_over(self, waiting: shards.Waiting, now: float) -> bool:
-        patience = waiting.arrived_at + PATIENCE_SECONDS
+        patience = waiting.arrived_at + ABANDON_SECONDS
         return now > min(patience, waiting.deadline)
 
     def _shed(self, waiting: shards.Waiting, now: float) -> None:
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -163,7 +163,7 @@
     bench.serve()
     bench.demand(name="giant", prompt=50_000, first_ms=600)
     bench.serve()
-    time.now += objectives.PATIENCE_SECONDS + 0.1
+    time.now += objectives.ABANDON_SECONDS + 0.1
     bench.serve()
     assert "giant" in bench.owner.sheds()
 
