--- a/packages/daemon/cassiaquay_daemon/configured/snapshots.py
+++ b/packages/daemon/cassiaquay_daemon/configured/snapshots.py
@@ -127,7 +127,7 @@
 readers: registry.Registry[Reader] = registry.Registry("text format")
 
 
-class Registered(typing.NamedTuple):
+class RegisteredServers(typing.NamedTuple):
     """What the platform publishes of backend servers.
 
     Attributes
@@ -142,7 +142,7 @@
     evacuated: list[str]
 
 
-def with_servers(snapshot: Snapshot, registered: Registered) -> Snapshot:
+def with_servers(snapshot: Snapshot, registered: RegisteredServers) -> Snapshot:
     """Return a snapshot whose pools have the servers that registered."""
     pools = {}
     for name, pool in snapshot.fleet.pools.items():
--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -66,7 +66,7 @@
         self._newest: snapshots.Snapshot | None = None
         # The text in force as it was read, and the servers that registered since.
         self._in_force: snapshots.Snapshot | None = None
-        self._servers: snapshots.Registered | None = None
+        self._servers: snapshots.RegisteredServers | None = None
         self._position = NOWHERE
         self._refused: dict[Position, str] = {}
         self._before = ""
@@ -111,7 +111,7 @@
         if self._newest is not None and self._newest is not self._in_force:
             self._put_in_force(self._newest)
 
-    def use_servers(self, registered: snapshots.Registered) -> None:
+    def use_servers(self, registered: snapshots.RegisteredServers) -> None:
         """Take the servers of each pool from their registrations."""
         self._servers = registered
         if self._in_force is not None:
--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -265,7 +265,7 @@
         )
         self._added.clear()
         self._configured.use_servers(
-            snapshots.Registered(pools, self.evacuated.domains)
+            snapshots.RegisteredServers(pools, self.evacuated.domains)
         )
 
     def _notify(self) -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -226,7 +226,7 @@
 def test_a_service_without_servers_is_refused_at_once() -> None:
     async def work(site: Site) -> None:
         empty = snapshots.with_servers(
-            site.configured.current, snapshots.Registered({}, [])
+            site.configured.current, snapshots.RegisteredServers({}, [])
         )
         site.configured.current = empty
         with pytest.raises(exceptions.NoServers) as refused:
