--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -129,7 +129,7 @@
         self.queue: dict[str, Waiting] = {}
         self.running: dict[str, Running] = {}
         self.servers: dict[str, fleet.Server] = {}
-        self.gone: set[str] = set()
+        self.closed_servers: set[str] = set()
         self.weights: dict[str, float] = {}
         self.margins: dict[int, float] = {}
         self.may_shed: collections.abc.Callable[[int], bool] = _always
@@ -378,7 +378,11 @@
 
     def open_servers(self) -> list[fleet.Server]:
         """Return the servers that may get new work."""
-        return [item for item in self.servers.values() if item.name not in self.gone]
+        return [
+            item
+            for item in self.servers.values()
+            if item.name not in self.closed_servers
+        ]
 
     def tokens_on(self, server: str) -> int:
         """Return the tokens in flight on a server."""
--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -312,13 +312,13 @@
         shard.margins = {
             tier.rank: tier.margin for tier in snapshot.fleet.tiers.values()
         }
-        shard.gone = self.draining.intersection(shard.servers)
+        shard.closed_servers = self.draining.intersection(shard.servers)
         for name, server in shard.servers.items():
             line = self._membership.listed.get(name)
             if line is not None and line.leaving:
-                shard.gone.add(name)
+                shard.closed_servers.add(name)
             if snapshot.is_evacuated(server):
-                shard.gone.add(name)
+                shard.closed_servers.add(name)
 
     def _serve(self, name: str) -> None:
         self._wake()
--- a/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
+++ b/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
@@ -83,7 +83,7 @@
     verdict = "fits"
     if is_evacuated:
         verdict = "evacuated: gets no new work"
-    elif name in shard.gone:
+    elif name in shard.closed_servers:
         verdict = "leaving: gets no new work"
     elif count >= server.slots:
         verdict = "all slots taken"
--- a/packages/daemon/cassiaquay_daemon/operators/views.py
+++ b/packages/daemon/cassiaquay_daemon/operators/views.py
@@ -96,7 +96,7 @@
     for server in servers:
         line = parts.membership.listed.get(server.name)
         if snapshot.is_evacuated(server) or (line is not None and line.leaving):
-            shard.gone.add(server.name)
+            shard.closed_servers.add(server.name)
     return shard
 
 
@@ -132,7 +132,7 @@
     snapshot = parts.configured.current
     if snapshot is not None and snapshot.is_evacuated(server):
         return "evacuated"
-    if server.name in shard.gone:
+    if server.name in shard.closed_servers:
         return "leaving"
     cold = shard.cold_budgets.cold
     if cold.is_cold(server.name):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -223,7 +223,7 @@
 def test_explains_a_described_request() -> None:
     async def test(instance: fakes.Instance) -> None:
         shard = _shard(instance)
-        shard.gone.add("tutor-1")
+        shard.closed_servers.add("tutor-1")
         path = f"/v1/explain?service=tutor-assist&team={SMALL.name}&tier=standard"
         found = (await instance.call(path)).json
         assert (found["tier"], found["rank"]) == ("standard", 2)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -177,7 +177,7 @@
             await asyncio.sleep(0.2)
             assert made.engines["e0"].orders.orders == []
             kept._refresh()
-            assert shard.gone == {"e0"}
+            assert shard.closed_servers == {"e0"}
             shard.drop("x")
             await light.until(lambda: made.at_version("2"), 10)
             await light.until(lambda: "e0" not in kept.draining, 10)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -179,7 +179,7 @@
     Those who cannot be in time must be told so at once, not when their time is over.
     """
     site = Site(time)
-    site.shard.gone.add("e2")
+    site.shard.closed_servers.add("e2")
     for _ in range(60):
         site.demand()
     site.serve()
@@ -190,7 +190,7 @@
 def test_a_permit_for_a_cold_server_is_soon_over(time) -> None:
     """Permits that are used a second late would arrive together with later ones."""
     site = Site(time)
-    site.shard.gone.add("e2")
+    site.shard.closed_servers.add("e2")
     time.now += 0.2
     site.demand()
     site.serve()
