--- a/packages/daemon/cassiaquay_daemon/decisions/buckets.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/buckets.py
@@ -26,7 +26,7 @@
     rate: float
     depth: float
 
-    def part(self, share: float) -> "Flow":
+    def scaled(self, share: float) -> "Flow":
         """Return a share of it; shares that add up to one give the whole."""
         return Flow(self.rate * share, self.depth * share)
 
--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -76,7 +76,7 @@
 
     @property
     def _flow(self) -> buckets.Flow:
-        return self._whole.part(self._share())
+        return self._whole.scaled(self._share())
 
     @property
     def available(self) -> int:
--- a/packages/daemon/cassiaquay_daemon/keepers/quotas.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/quotas.py
@@ -181,7 +181,7 @@
         units = units_of(team.quota, facts)
         own = _bucket(self._own, team.name, self._own_from)
         share = self._own_part() / self._membership.fleet_size()
-        flow = self._flow(team.quota).part(share)
+        flow = self._flow(team.quota).scaled(share)
         own_wait = own.reserve(units, flow, 0.0)
         if not own_wait:
             return Taken(units, own)
@@ -279,7 +279,7 @@
         # In a partition each part has a keeper of its own: each gives out the part of
         # the rest that belongs to the instances it can hear.
         heard = len(self._membership.alive()) / self._membership.fleet_size()
-        rest = self._flow(quota).part((1.0 - self._own_part()) * min(heard, 1.0))
+        rest = self._flow(quota).scaled((1.0 - self._own_part()) * min(heard, 1.0))
         given = _bucket(self._given, query.team, self._given_from)
         patience = query.patience_ms / 1000.0
         wait = given.reserve(query.units, rest, patience)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -260,7 +260,7 @@
 
 async def _spend_own(found: quotas.Quotas) -> None:
     """Spend an instance's own share."""
-    flow = found._flow(QUOTA).part(quotas.OWN_SHARE / 9)
+    flow = found._flow(QUOTA).scaled(quotas.OWN_SHARE / 9)
     await found.take(TEAM, Facts(int(flow.depth)))
 
 
