--- a/packages/daemon/cassiaquay_daemon/configured/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/configured/__init__.py
@@ -1,6 +1,6 @@
-"""What is in force: the types of a configuration, and what changed between two.
+"""The accepted configuration: its types, and the difference between two texts.
 
-The platform's folder and the own fleet text are both translated into these types, and
-every room reads them. It must not know where a configuration came from, nor who else
-has it.
+The platform's documents and the daemon's own fleet text are both translated into these
+types, which all other packages read. This package must not depend on the source of a
+configuration, nor on which other instances have it.
 """
--- a/packages/daemon/cassiaquay_daemon/configured/changes.py
+++ b/packages/daemon/cassiaquay_daemon/configured/changes.py
@@ -1,10 +1,10 @@
-"""A text told as one replaced part of an earlier one."""
+"""Difference between two texts, as the replacement of one part."""
 
 import typing
 
 
 class Change(typing.NamedTuple):
-    """What is replaced: characters ``start`` to ``end`` by ``part``."""
+    """The replacement of the characters ``start`` to ``end`` by ``part``."""
 
     start: int
     end: int
@@ -14,9 +14,9 @@
 def difference(before: str, after: str) -> Change:
     """Return the change that turns ``before`` into ``after``."""
     start = _common_prefix(before, after)
-    left = min(len(before), len(after)) - start
-    same = _common_suffix(before, after, left)
-    return Change(start, len(before) - same, after[start : len(after) - same])
+    max_suffix = min(len(before), len(after)) - start
+    suffix = _common_suffix(before, after, max_suffix)
+    return Change(start, len(before) - suffix, after[start : len(after) - suffix])
 
 
 def apply(before: str, change: Change) -> str:
@@ -24,24 +24,24 @@
     return before[: change.start] + change.part + before[change.end :]
 
 
-def _common_prefix(one: str, other: str) -> int:
-    # By halves: slices are compared in C, characters would be compared in Python.
-    low, high = 0, min(len(one), len(other))
-    while low < high:
-        middle = (low + high + 1) // 2
-        if one[:middle] == other[:middle]:
-            low = middle
+def _common_prefix(first: str, second: str) -> int:
+    # Binary search: slices are compared in C, single characters in Python.
+    shortest, longest_possible = 0, min(len(first), len(second))
+    while shortest < longest_possible:
+        middle = (shortest + longest_possible + 1) // 2
+        if first[:middle] == second[:middle]:
+            shortest = middle
         else:
-            high = middle - 1
-    return low
+            longest_possible = middle - 1
+    return shortest
 
 
-def _common_suffix(one: str, other: str, longest: int) -> int:
-    low, high = 0, longest
-    while low < high:
-        middle = (low + high + 1) // 2
-        if one[-middle:] == other[-middle:]:
-            low = middle
+def _common_suffix(first: str, second: str, longest: int) -> int:
+    shortest, longest_possible = 0, longest
+    while shortest < longest_possible:
+        middle = (shortest + longest_possible + 1) // 2
+        if first[-middle:] == second[-middle:]:
+            shortest = middle
         else:
-            high = middle - 1
-    return low
+            longest_possible = middle - 1
+    return shortest
--- a/packages/daemon/cassiaquay_daemon/configured/routing.py
+++ b/packages/daemon/cassiaquay_daemon/configured/routing.py
@@ -1,18 +1,18 @@
-"""Which service a caller's plain HTTP request goes to, and under which terms."""
+"""Routing of callers' plain HTTP requests: the service, and its limits and ranks."""
 
 import enum
 import random
 import typing
 
-# Ranks of routes are told apart within one rank of teams up to this many.
+# Number of route ranks that are distinguished within one rank of teams.
 ROUTE_RANKS = 16
 
 
 class Kind(enum.Enum):
-    """What may be repeated.
+    """Whether a request may be sent again.
 
-    A resumable stream may be sent to another server where it broke off; any other
-    stream counts as non-idempotent.
+    An interrupted resumable stream may be continued on another server; any other stream
+    counts as non-idempotent.
     """
 
     IDEMPOTENT = "idempotent"
@@ -33,27 +33,27 @@
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the route.
     host, prefix : str
-        Requests for this host whose path begins with the prefix take it.
+        The route applies to requests for this host whose path begins with the prefix.
     kind : Kind
-        What may be repeated.
+        Whether its requests may be sent again.
     shares : tuple of Share
-        Where its requests go.
+        Services that its requests go to, by weight.
     timeout_seconds : float
-        Longest time that a request may take.
+        Maximum duration of a request.
     objective_seconds : float
-        Time until the answer, or a stream's first event, is late.
+        Time after which the answer, or a stream's first event, is late.
     pause_seconds : float
         Pause between events that makes a stream late; 0 when not a stream.
     rank : int
         0 is the most important.
     attempts : int
-        Servers that may run one request.
+        Maximum number of servers that may run one request.
     is_public : bool
-        Whether no key is needed.
+        Whether requests need no key.
     is_resumable : bool
-        Whether a stream may go on at another server.
+        Whether an interrupted stream may be continued on another server.
     """
 
     name: str
@@ -71,13 +71,13 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request that may have run can be sent again."""
+        """Whether a request that a server may have run can be sent again."""
         if self.kind is Kind.STREAM:
             return self.is_resumable
         return self.kind is Kind.IDEMPOTENT
 
     def choose_service(self) -> str:
-        """Return a service, each as often as its weight says."""
+        """Return a random service with a probability in proportion to its weight."""
         if len(self.shares) == 1:
             return self.shares[0].service
         weights = [share.weight for share in self.shares]
@@ -85,18 +85,18 @@
 
 
 class Quota(typing.NamedTuple):
-    """A team's limit over the whole fleet, in units a second.
+    """A team's rate limit over the whole fleet.
 
     Attributes
     ----------
     rate : float
-        Units a second.
+        Units per second.
     burst : float
-        Units that may come at once.
+        Units that may arrive at once.
     counts_tokens : bool
-        Whether a unit is a token; a request otherwise.
+        Whether a unit is a token; otherwise it is a request.
     plain_units : int
-        Units of a request that does not say its tokens.
+        Units of a request that does not state its tokens.
     """
 
     rate: float
@@ -106,7 +106,7 @@
 
 
 class Team(typing.NamedTuple):
-    """A team as its requests are treated; ``rank`` goes before the route's."""
+    """A team's rank and quota; ``rank``, if set, overrides that of the route."""
 
     name: str
     rank: int | None
@@ -114,7 +114,7 @@
 
 
 class Bounds(typing.NamedTuple):
-    """What a caller may send, and how long its connection may idle."""
+    """Limits of a caller's request size and of its connection's idle time."""
 
     header_bytes: int
     body_bytes: int
@@ -128,19 +128,19 @@
     Attributes
     ----------
     version : int
-        The operators' number of it, for logs.
+        The operators' version number of the configuration, for logs.
     hosts : dict of str to list of Route
-        By host; longer prefixes come first.
+        Routes by host; longer prefixes come first.
     teams_by_key : dict of str to Team
-        By API key.
+        Teams by API key.
     quotas : dict of str to Quota
-        By team.
+        Quotas by team.
     needs_keys : bool
-        Whether requests carry keys at all.
+        Whether requests must carry keys.
     event_tokens : dict of str to int
         Tokens in one event of a stream, by service whose servers are model engines.
     bounds : Bounds
-        What a caller may send.
+        Limits of a caller's requests.
     """
 
     version: int
@@ -160,12 +160,12 @@
 
 
 def rank_of(team: Team | None, route: Route) -> int:
-    """Return the rank of a request: its team's goes before its route's.
+    """Return the rank of a request: ordered by its team's rank, then its route's.
 
-    Among requests whose teams rank the same the routes decide, so that teams which all
-    have one rank do not make all kinds of request equal.
+    A team without a rank has that of the route. Among requests of teams with equal
+    ranks the route decides, so that routes still differ when all teams have one rank.
     """
-    first = route.rank
+    main_rank = route.rank
     if team is not None and team.rank is not None:
-        first = team.rank
-    return first * ROUTE_RANKS + min(max(route.rank, 0), ROUTE_RANKS - 1)
+        main_rank = team.rank
+    return main_rank * ROUTE_RANKS + min(max(route.rank, 0), ROUTE_RANKS - 1)
--- a/packages/daemon/cassiaquay_daemon/configured/snapshots.py
+++ b/packages/daemon/cassiaquay_daemon/configured/snapshots.py
@@ -1,4 +1,7 @@
-"""One accepted configuration, indexed for use. Requests keep the one they came with."""
+"""One accepted configuration, indexed for lookups.
+
+A request uses the snapshot that was in force when it arrived until it ends.
+"""
 
 import collections
 import collections.abc
@@ -16,12 +19,13 @@
 from ..adapters import backends
 from . import routing
 
-# A keeper weighs every server of its shard for every request; this many keep it within
-# a few hundredths of a core at the loads of docs/CAPACITY.md.
+# Maximum number of servers per shard. A keeper weighs every server of its shard for
+# every request; with this many it uses a few hundredths of a core at the loads of
+# docs/CAPACITY.md.
 SHARD_SERVERS = 16
-# A shard takes at most this much more than its even part of the servers: enough that
-# a server which comes or goes moves hardly any other one.
-SHARD_ROOM = 1.1
+# Maximum size of a shard relative to an even split of the servers. The headroom lets
+# nearly all servers keep their shard when one is added or removed.
+SHARD_SIZE_FACTOR = 1.1
 
 
 class Snapshot(typing.NamedTuple):
@@ -30,15 +34,15 @@
     Attributes
     ----------
     revision : int
-        Its place in the platform's order.
+        Its position in the platform's order of publication.
     text : str
-        As published.
+        The fleet text as published.
     fleet : Fleet
-        Parsed and checked.
+        The parsed and checked text.
     teams_by_credential : dict of str to str
         Team names by SHA-256 hex digest of a credential.
     routes : Routing or None
-        Routes of callers' plain HTTP, where the configuration has any.
+        Routes of callers' plain HTTP requests; None when the configuration has none.
     """
 
     revision: int
@@ -54,8 +58,8 @@
 
     def shard_count(self, pool: str) -> int:
         """Return the number of shards of a pool, a power of two."""
-        # Requests and servers are spread anew when it changes; doubling keeps it the
-        # same while servers come and go.
+        # A change of the count redistributes requests and servers. Powers of two keep
+        # it constant while single servers are added and removed.
         needed = -(-len(self.fleet.pools[pool].servers) // SHARD_SERVERS)
         return 1 << (needed - 1).bit_length() if needed else 0
 
@@ -75,8 +79,8 @@
         count = self.shard_count(pool)
         if int(number) >= count:
             return []
-        servers = sorted(self.fleet.pools[pool].servers, key=_name)
-        numbers = _assign(tuple(server.name for server in servers), count)
+        servers = sorted(self.fleet.pools[pool].servers, key=_server_name)
+        numbers = _assign_shards(tuple(server.name for server in servers), count)
         found = []
         for server, chosen in zip(servers, numbers, strict=True):
             if chosen == int(number):
@@ -84,12 +88,12 @@
         return found
 
     def shard_of(self, pool: str, key: str) -> str:
-        """Return the shard that serves a key, each as often as it has servers."""
+        """Return the shard of a key; shards get keys in proportion to their servers."""
         count = self.shard_count(pool)
         if count <= 1:
             return f"{pool}#0"
         names = tuple(sorted(server.name for server in self.fleet.pools[pool].servers))
-        return f"{pool}#{rendezvous.weighted(key, _weights(names, count))}"
+        return f"{pool}#{rendezvous.weighted(key, _shard_weights(names, count))}"
 
     def server(self, pool: str, name: str) -> fleet_schema.Server | None:
         """Return a backend server by name."""
@@ -99,7 +103,7 @@
         return None
 
     def is_evacuated(self, server: fleet_schema.Server) -> bool:
-        """Tell whether a server's failure domain was taken out of use."""
+        """Return whether a server's failure domain is evacuated, or out of use."""
         return server.domain in self.fleet.evacuated
 
     @property
@@ -128,14 +132,14 @@
 
 
 class RegisteredServers(typing.NamedTuple):
-    """What the platform publishes of backend servers.
+    """The platform's published list of backend servers.
 
     Attributes
     ----------
     pools : dict of str to list of Server
-        Servers by name of the pool.
+        Servers by pool name.
     evacuated : list of str
-        Failure domains that the operator took out of use.
+        Failure domains that the operator has taken out of use.
     """
 
     pools: dict[str, list[fleet_schema.Server]]
@@ -143,7 +147,7 @@
 
 
 def with_servers(snapshot: Snapshot, registered: RegisteredServers) -> Snapshot:
-    """Return a snapshot whose pools have the servers that registered."""
+    """Return a copy of a snapshot whose pools contain the registered servers."""
     pools = {}
     for name, pool in snapshot.fleet.pools.items():
         pools[name] = msgspec.structs.replace(
@@ -156,7 +160,7 @@
 
 @readers.register("fleet")
 def read(revision: int, text: str) -> Snapshot:
-    """Return the snapshot of a text; raise SchemaError when it is not accepted."""
+    """Return the snapshot of a fleet text; raise SchemaError when it is invalid."""
     found = texts.read_fleet(text)
     _check_adapters(found)
     credentials = {}
@@ -167,20 +171,22 @@
 
 
 @functools.lru_cache(maxsize=64)
-def _assign(names: tuple[str, ...], count: int) -> list[int]:
-    """Return the number of the shard of each server.
+def _assign_shards(names: tuple[str, ...], count: int) -> list[int]:
+    """Return the shard number of each server.
 
-    A server that moved to another shard would meet a keeper that knows nothing of what
-    runs on it, and get more than its share. So each goes to the shard that its own name
-    favours, as long as that one has room.
+    A server should keep its shard: the keeper of another shard has no record of the
+    requests running on the server and would overload it. So each server goes to the
+    shard that ranks highest by rendezvous hashing of its name and is not full.
     """
     shards = [str(number) for number in range(count)]
-    most = math.ceil(len(names) / count * SHARD_ROOM) if count > 1 else len(names)
+    max_servers = (
+        math.ceil(len(names) / count * SHARD_SIZE_FACTOR) if count > 1 else len(names)
+    )
     taken: collections.Counter[str] = collections.Counter()
     found = []
     for name in names:
         for shard in rendezvous.rank(name, shards):
-            if taken[shard] >= most:
+            if taken[shard] >= max_servers:
                 continue
             taken[shard] += 1
             found.append(int(shard))
@@ -189,18 +195,18 @@
 
 
 @functools.lru_cache(maxsize=64)
-def _weights(names: tuple[str, ...], count: int) -> dict[str, float]:
-    """Return the number of servers of each shard, by its number."""
-    numbers = _assign(names, count)
+def _shard_weights(names: tuple[str, ...], count: int) -> dict[str, float]:
+    """Return the number of servers of each shard, by shard number."""
+    numbers = _assign_shards(names, count)
     return {str(number): float(numbers.count(number)) for number in set(numbers)}
 
 
-def _name(server: fleet_schema.Server) -> str:
+def _server_name(server: fleet_schema.Server) -> str:
     return server.name
 
 
 def _check_adapters(found: fleet_schema.Fleet) -> None:
-    # In force, such a text would fail each request of the pool at its dispatch.
+    # If accepted, such a text would fail each request of the pool at its dispatch.
     known = backends.backends.names()
     for name, pool in found.pools.items():
         if pool.adapter in known:
--- a/packages/daemon/cassiaquay_daemon/decisions/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/__init__.py
@@ -1,6 +1,6 @@
-"""How requests wait, are placed, are shed and are limited: state and arithmetic only.
+"""Queueing, placement, shedding and rate limits: state and arithmetic only.
 
-The keepers and the gateway bring in what happened and carry out what is decided. It
-must not open connections, read settings from files or await anything, so that each
-policy can be played in virtual time.
+Keepers (which admit requests to the shards of a pool) and the gateway report events to
+this package and carry out its decisions. It must not open connections, read settings
+from files or await anything, so that each policy can be simulated in virtual time.
 """
--- a/packages/daemon/cassiaquay_daemon/decisions/affinity.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/affinity.py
@@ -1,8 +1,8 @@
-"""Which engine is taken to hold which prompt prefixes in its cache.
+"""Index of the prompt prefixes that each engine probably holds in its cache.
 
-Filled by the keeper's own grants, put right by what finished requests say that the
-engine read from its cache, and by the engine's late cache events. A wrong entry costs
-one prefill; it never changes an answer.
+Filled from the keeper's own grants; corrected from the cached-token counts of finished
+requests and from the engine's cache events, which arrive late. A wrong entry costs one
+prefill; it never changes an answer.
 """
 
 import collections
@@ -11,95 +11,95 @@
 
 from . import prefixes
 
-# More than the blocks of the engines' caches that we know, and 400 KB an engine.
-START_CAPACITY = 4096
-LEAST_CAPACITY = 64
-SHRINK = 0.9
-GROW = 8
+# More blocks than the known engines can cache, and 400 KB of memory per engine.
+INITIAL_CAPACITY_BLOCKS = 4096
+MIN_CAPACITY_BLOCKS = 64
+SHRINK_FACTOR = 0.9
+GROWTH_BLOCKS = 8
 
 
-class Found(typing.NamedTuple):
-    """What one engine has of a prompt, in tokens.
+class CachedPrefix(typing.NamedTuple):
+    """Length of a prompt's prefix that one engine caches, in tokens.
 
     Attributes
     ----------
     cached : int
-        Held by its cache.
-    coming : int
-        Held by it once the prompts that it reads now have been read.
+        Cached now.
+    pending : int
+        Cached once the engine has finished its current prefills.
     """
 
     cached: int
-    coming: int
+    pending: int
 
 
 class PrefixIndex:
-    """The sampled blocks that one engine is taken to hold, least recently used first.
+    """The sampled blocks that one engine probably caches, least recently used first.
 
     The capacity is learned: a request that finds less in the cache than the index
-    says shows that the engine forgets sooner than the index does.
+    predicted shows that the engine evicts blocks sooner than the index does.
     """
 
     def __init__(self) -> None:
         self._blocks: collections.OrderedDict[int, None] = collections.OrderedDict()
-        self._coming: collections.Counter[int] = collections.Counter()
-        self._capacity = START_CAPACITY
+        self._pending: collections.Counter[int] = collections.Counter()
+        self._capacity = INITIAL_CAPACITY_BLOCKS
         self._version = 0
-        self._memory: dict[str, tuple[int, Found]] = {}
+        self._memoized: dict[str, tuple[int, CachedPrefix]] = {}
 
     def find(
         self, request_id: str, hashes: collections.abc.Sequence[int], block_count: int
-    ) -> Found:
-        """Return what the engine has of the prompt of a waiting request.
+    ) -> CachedPrefix:
+        """Return how much of a waiting request's prompt the engine caches.
 
-        Kept until the index changes: waiting requests are looked at again and again,
-        and between two passes the indexes of most engines stay as they are.
+        The result is memoized until the index changes: each pass over the queue looks
+        up the waiting requests again, and most indexes do not change between passes.
         """
         if not hashes:
-            return Found(0, 0)
-        known = self._memory.get(request_id)
+            return CachedPrefix(0, 0)
+        known = self._memoized.get(request_id)
         if known is not None and known[0] == self._version:
             return known[1]
-        found = Found(
+        found = CachedPrefix(
             self.cached_tokens(hashes, block_count),
-            self.coming_tokens(hashes, block_count),
+            self.pending_tokens(hashes, block_count),
         )
-        self._memory[request_id] = (self._version, found)
+        self._memoized[request_id] = (self._version, found)
         return found
 
     def forget(self, request_id: str) -> None:
-        """Drop what is kept for a request that waits no more."""
-        self._memory.pop(request_id, None)
+        """Drop the memoized result of a request that has left the queue."""
+        self._memoized.pop(request_id, None)
 
-    def begin(self, hashes: collections.abc.Iterable[int]) -> None:
-        """Note blocks that the engine will hold once it has read a granted prompt.
+    def begin_prefill(self, hashes: collections.abc.Iterable[int]) -> None:
+        """Record blocks that the engine will cache after a granted prompt's prefill.
 
-        Engines look into their cache when they admit a request: a second request of
-        the session that is admitted before the first one's prompt has been read would
-        read all of it again.
+        Engines look up their cache when they admit a request: a second request of the
+        session that is admitted before the first one's prefill has ended would repeat
+        the whole prefill.
         """
         self._version += 1
-        self._coming.update(hashes)
+        self._pending.update(hashes)
 
-    def arrive(self, hashes: collections.abc.Iterable[int]) -> None:
-        """Note that such a prompt has been read."""
-        self.cancel(hashes)
+    def finish_prefill(self, hashes: collections.abc.Iterable[int]) -> None:
+        """Record that the prefill of such a prompt has ended."""
+        self.cancel_prefill(hashes)
         self.add(hashes)
 
-    def cancel(self, hashes: collections.abc.Iterable[int]) -> None:
-        """Note that such a prompt will not be read."""
+    def cancel_prefill(self, hashes: collections.abc.Iterable[int]) -> None:
+        """Record that the prefill of such a prompt will not complete."""
         self._version += 1
         for block in hashes:
-            self._coming[block] -= 1
-            if self._coming[block] <= 0:
-                del self._coming[block]
+            self._pending[block] -= 1
+            if self._pending[block] <= 0:
+                del self._pending[block]
 
-    def coming_tokens(
+    def pending_tokens(
         self, hashes: collections.abc.Sequence[int], block_count: int
     ) -> int:
-        """Return how many prompt tokens are being read there for another request."""
+        """Return how many prompt tokens the engine is reading for other requests."""
         for index in range(len(hashes) - 1, -1, -1):
-            if hashes[index] in self._coming:
+            if hashes[index] in self._pending:
                 return prefixes.tokens_at(block_count, index)
         return 0
 
@@ -109,24 +109,25 @@
     def cached_tokens(
         self, hashes: collections.abc.Sequence[int], block_count: int
     ) -> int:
-        """Return how many prompt tokens the engine need not read.
+        """Return how many prompt tokens the engine can skip in the prefill.
 
         Parameters
         ----------
         hashes : sequence of int
-            As a demand carries them, at ``prefixes.positions(block_count)``.
+            Hashes of the blocks ``prefixes.sampled_numbers(block_count)``, as a demand
+            carries them.
         block_count : int
             Full blocks of the prompt.
         """
-        # Deepest first: its cache keeps the beginning of a prompt longest, so a
-        # block that is there says that those before it are there too.
+        # Deepest first: an engine evicts the beginning of a prompt last, so a cached
+        # block implies that all blocks before it are cached too.
         for index in range(len(hashes) - 1, -1, -1):
             if hashes[index] in self._blocks:
                 return prefixes.tokens_at(block_count, index)
         return 0
 
     def add(self, hashes: collections.abc.Iterable[int]) -> None:
-        """Note blocks that the engine holds."""
+        """Record blocks that the engine caches."""
         self._version += 1
         for block in hashes:
             self._blocks[block] = None
@@ -135,31 +136,31 @@
             self._blocks.popitem(last=False)
 
     def remove(self, hashes: collections.abc.Iterable[int]) -> None:
-        """Note blocks that the engine has dropped."""
+        """Remove blocks that the engine has evicted."""
         self._version += 1
         for block in hashes:
             self._blocks.pop(block, None)
 
     def clear(self) -> None:
-        """Forget everything, as after a restart of the engine."""
+        """Remove all blocks, as after a restart of the engine."""
         self._version += 1
         self._blocks.clear()
 
     def correct(
         self, hashes: collections.abc.Sequence[int], expected: int, found: int
     ) -> None:
-        """Learn from a finished request: it read ``found`` tokens from the cache.
+        """Adjust the capacity from a finished request's number of cached tokens.
 
         Parameters
         ----------
         hashes : sequence of int
             The sampled blocks of its prompt, now cached.
         expected, found : int
-            Cached tokens as the index had said at the grant, and as it was.
+            Cached tokens as predicted at the grant, and as the engine reported.
         """
         if found + prefixes.BLOCK_TOKENS < expected:
-            shrunk = int(min(len(self._blocks), self._capacity) * SHRINK)
-            self._capacity = max(shrunk, LEAST_CAPACITY)
-        elif self._capacity < START_CAPACITY:
-            self._capacity += GROW
+            shrunk = int(min(len(self._blocks), self._capacity) * SHRINK_FACTOR)
+            self._capacity = max(shrunk, MIN_CAPACITY_BLOCKS)
+        elif self._capacity < INITIAL_CAPACITY_BLOCKS:
+            self._capacity += GROWTH_BLOCKS
         self.add(hashes)
--- a/packages/daemon/cassiaquay_daemon/decisions/arrivals.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/arrivals.py
@@ -1,4 +1,4 @@
-"""How many requests of each tier arrive in a second, of late."""
+"""Recent arrival rates of requests, by rank of their tier."""
 
 import collections
 
@@ -8,12 +8,12 @@
 
 
 class Arrivals:
-    """Moving rates by rank."""
+    """Exponentially decaying arrival counts by rank."""
 
     def __init__(self) -> None:
         self._counts: collections.Counter[int] = collections.Counter()
         self._weights: dict[int, float] = {}
-        self._at = clock.now()
+        self._decayed_at = clock.now()
 
     def add(self, rank: int) -> None:
         """Count an arrival."""
@@ -21,15 +21,15 @@
         self._weights[rank] = self._weights.get(rank, 0.0) + 1.0
 
     def rate_above(self, rank: int) -> float:
-        """Return the arrivals a second of the tiers more important than a rank."""
+        """Return the arrivals per second of all ranks more important than ``rank``."""
         self._decay()
         total = sum(self._weights[other] for other in self._weights if other < rank)
-        # The sum of decaying weights is the rate times their mean life.
+        # The sum of the weights is the rate times their mean life, half-life / ln 2.
         return total * 0.693 / HALF_LIFE_SECONDS
 
     def _decay(self) -> None:
         now = clock.now()
-        factor = 0.5 ** (max(now - self._at, 0.0) / HALF_LIFE_SECONDS)
-        self._at = now
+        factor = 0.5 ** (max(now - self._decayed_at, 0.0) / HALF_LIFE_SECONDS)
+        self._decayed_at = now
         for rank in self._weights:
             self._weights[rank] *= factor
--- a/packages/daemon/cassiaquay_daemon/decisions/budgets.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/budgets.py
@@ -1,10 +1,10 @@
-"""How many dispatches beyond the first an instance may spend, without asking anybody.
+"""Retry budget of one instance, enforced without coordination.
 
-Load pattern: servers fail or shed, and every instance sends again at the same moment;
-repeats then keep the servers down. The fleet's budget for a service is a share of its
-requests and a fixed number in a window. Each instance spends the share of what it took
-in itself and its part of the fixed number, so that the sum keeps the bound in any
-partition.
+Load pattern: servers fail or shed, all instances retry at the same moment, and the
+retries keep the servers overloaded. The fleet's budget for a service is a share of its
+requests plus a fixed number per window. Each instance spends the share of the requests
+that it received itself and an equal part of the fixed number, so that the sum stays
+within the budget in any partition.
 """
 
 import collections.abc
@@ -13,20 +13,20 @@
 
 from . import windows
 
-# Part of the budget that is used: instances may count a window a little later than
-# whoever adds them all up.
+# Part of the budget that is used: the windows of the instances are not aligned with
+# the window over which the fleet's total is checked.
 USED_SHARE = 0.8
 
 
 class RetryBudget:
-    """The repeats that this instance may send.
+    """Limits the retries that this instance sends to each service.
 
     Parameters
     ----------
     settings : Settings
         The fleet's budget.
     fleet_size : callable
-        Returns how many instances may be spending from it.
+        Returns the number of instances that may be spending from the budget.
     """
 
     def __init__(
@@ -37,28 +37,28 @@
         self._gateway = settings.gateway
         self._fleet_size = fleet_size
         self._requests: dict[str, windows.Window] = {}
-        self._repeats: dict[str, windows.Window] = {}
+        self._retries: dict[str, windows.Window] = {}
 
     def adopt(self, settings: settings_schema.Settings) -> None:
-        """Take in changed settings."""
+        """Use changed settings from now on."""
         self._gateway = settings.gateway
 
     def count(self, service: str) -> None:
-        """Count a caller's request for a service."""
+        """Count a caller's first attempt at a service."""
         self._window(self._requests, service).add(1.0)
 
     def take(self, service: str) -> bool:
-        """Spend one repeat; return whether there was one."""
+        """Spend one retry; return False when the budget is used up."""
         requests = self._window(self._requests, service).sum()
-        repeats = self._window(self._repeats, service)
+        retries = self._window(self._retries, service)
         extra = self._gateway.retry_extra / self._fleet_size()
         if not self._gateway.first_start:
-            # The process before this one may have spent it a moment ago.
-            extra *= 1.0 - repeats.unknown_share
+            # The previous process of this instance may have spent it just before.
+            extra *= 1.0 - retries.unknown_share
         bound = USED_SHARE * (self._gateway.retry_share * requests + extra)
-        if repeats.sum() + 1.0 > bound:
+        if retries.sum() + 1.0 > bound:
             return False
-        repeats.add(1.0)
+        retries.add(1.0)
         return True
 
     def _window(self, known: dict[str, windows.Window], service: str) -> windows.Window:
--- a/packages/daemon/cassiaquay_daemon/decisions/candidates.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/candidates.py
@@ -1,8 +1,9 @@
-"""The servers of a shard, as one pass over its queue sees them.
+"""The servers of a shard, as seen by one pass over its queue.
 
-Load pattern: under overload hundreds of passes a second weigh dozens of demands against
-every server. What does not change during a pass is looked up once at its beginning; a
-keeper that is busy with its own bookkeeping makes every caller of its shard late.
+Load pattern: under overload a keeper makes hundreds of passes a second, each of which
+weighs dozens of demands against every server. State that is constant during a pass is
+looked up once at its start; time that the keeper spends on bookkeeping delays every
+request of its shard.
 """
 
 import collections.abc
@@ -14,15 +15,16 @@
 from .. import clock
 from . import loads, service_times, shards, slow_start
 
-# A server is left to its probes only when it fails by so much more than the median one
-# of its shard.
-BROKEN_EXCESS = 0.3
-# From the end of an answer until the next request arrives at its server: the end goes
-# to the keeper, its permit to an owner, the request to the server.
+# A broken server is limited to probes only when its share of failures exceeds that of
+# the shard's median server by this much.
+BROKEN_EXCESS_SHARE = 0.3
+# Time from the end of an answer until the next request reaches the server: a release to
+# the keeper, a permit to an owner (the instance that dispatches a request), a request
+# to the server.
 TURNOVER_SECONDS = 0.06
-# Answers longer than this gain too little from requests that wait in the server, where
-# they are served in order of arrival.
-SHORT_SECONDS = 3.0 * TURNOVER_SECONDS
+# For answers longer than this, queueing requests inside the server gains too little:
+# the server ignores tiers and serves in order of arrival.
+SHORT_ANSWER_SECONDS = 3.0 * TURNOVER_SECONDS
 
 
 class Candidate(typing.NamedTuple):
@@ -33,60 +35,64 @@
     server : Server
         As configured.
     load : Load
-        What is out on it; changes during the pass.
+        Its requests in flight; changes during the pass.
     times : ServiceTimes
-        What is known of its speed and health.
-    usual_failing : float
-        Share of requests that the median server of its shard fails.
-    ration : Ration or None
-        What it may still get while it is cold; None when it is warm.
+        Its learned speed and health.
+    median_failure_share : float
+        Share of requests that fail at the median server of its shard.
+    cold_budget : ColdBudget or None
+        The grants that it may still get during slow start; None when it is warm.
     """
 
     server: fleet.Server
     load: loads.Load
     times: service_times.ServiceTimes
-    usual_failing: float
+    median_failure_share: float
     cold_budget: slow_start.ColdBudget | None = None
 
     @property
     def capacity(self) -> int:
-        """Requests that it may have at a time.
+        """Maximum number of concurrent requests.
 
-        Its slots, and those that it starts while the news of an end is on its way: with
-        answers as short as that, slots would stand empty for a third of the time while
-        callers are refused. They wait in the server for less than one answer.
+        The slots plus, for short answers, the requests that the server can start during
+        the turnover time. Without these, slots would be idle for a third of the time
+        while requests are refused. The extra requests queue in the server for less than
+        the duration of one answer.
         """
         slots = self.server.slots
-        if self.times.whole_seconds > SHORT_SECONDS:
+        if self.times.slot_seconds > SHORT_ANSWER_SECONDS:
             return slots
-        seconds = max(self.times.whole_seconds, TURNOVER_SECONDS)
+        seconds = max(self.times.slot_seconds, TURNOVER_SECONDS)
         return slots + int(slots * TURNOVER_SECONDS / seconds)
 
     @property
     def queue_seconds(self) -> float:
-        """Time that one more request would wait in the server."""
+        """Time that one more request would queue inside the server."""
         queued = self.load.count - self.server.slots + 1
-        return max(queued, 0) * self.times.whole_seconds / self.server.slots
+        return max(queued, 0) * self.times.slot_seconds / self.server.slots
 
     @property
     def free_slots(self) -> int:
-        """Requests that it may get now, where it may get any."""
+        """Number of requests that it may get now, if `has_slot` holds."""
         free = self.capacity - self.load.count
         return (
             free if self.cold_budget is None else min(free, self.cold_budget.available)
         )
 
     def has_slot(self, now: float) -> bool:
-        """Tell whether one more request may go there now."""
+        """Return whether the server may get one more request now."""
         if self.load.count >= self.capacity or self.times.is_silent(now):
             return False
         if self.cold_budget is not None and not self.cold_budget.available:
             return False
         if not self.times.is_broken(now):
             return True
-        # Where all fail alike there is no sound server to wait for: held back, callers
-        # would be refused while nearly all slots are free.
-        return self.times.failing(now) < self.usual_failing + BROKEN_EXCESS
+        # When all servers fail alike, waiting for a healthy one would only refuse
+        # requests while nearly all slots are free.
+        return (
+            self.times.failure_share(now)
+            < self.median_failure_share + BROKEN_EXCESS_SHARE
+        )
 
 
 class Candidates:
@@ -95,9 +101,9 @@
     Parameters
     ----------
     shard : Shard
-        Whose servers they are.
+        The shard.
     times_of : callable
-        Returns what is known of a server's speed.
+        Returns the learned service times of a server by name.
     """
 
     def __init__(
@@ -110,39 +116,42 @@
         self.open: list[Candidate] = []
         self.times: dict[str, service_times.ServiceTimes] = {}
         self._reachable: list[Candidate] = []
-        # Fixed seconds and tokens a second of those that are fastest for some prompt.
-        self._fastest: list[tuple[float, float]] = []
-        self._least_event_seconds = 0.0
+        # Base seconds and prefill rate (tokens per second) of the servers that are the
+        # fastest for some length of prompt.
+        self._fastest_speeds: list[tuple[float, float]] = []
+        self._min_event_seconds = 0.0
 
     def refresh(self) -> None:
-        """Look at all servers anew."""
+        """Rebuild the state of all servers at the start of a pass."""
         self.times = {name: self._times_of(name) for name in self._shard.servers}
         self.open = []
         self._reachable = []
         servers = self._shard.open_servers()
-        usual = self._usual_failing(servers)
+        median_share = self._median_failure_share(servers)
         for server in servers:
             load = self._shard.load(server.name)
-            cold_budget = self._shard.cold_budgets.of(server.name)
-            found = Candidate(server, load, self.times[server.name], usual, cold_budget)
+            cold_budget = self._shard.cold_budgets.get(server.name)
+            found = Candidate(
+                server, load, self.times[server.name], median_share, cold_budget
+            )
             self.open.append(found)
             if not self._shard.is_refusing(server.name):
                 self._reachable.append(found)
-        self._fastest = _fastest(self.open)
-        self._least_event_seconds = min(
+        self._fastest_speeds = _fastest_speeds(self.open)
+        self._min_event_seconds = min(
             (found.times.event_seconds for found in self.open), default=0.0
         )
 
-    def with_slots(
+    def with_free_slots(
         self, avoid: collections.abc.Set[str], now: float
     ) -> collections.abc.Iterator[Candidate]:
-        """Yield the servers that a demand may go to now."""
+        """Yield the servers that may get a demand now, except those to avoid."""
         for found in self._reachable:
             if found.has_slot(now) and found.server.name not in avoid:
                 yield found
 
     def free_slots(self) -> int:
-        """Return the free slots of servers that may get work."""
+        """Return the number of free slots on servers that may get work."""
         now = clock.now()
         count = 0
         for found in self.open:
@@ -150,8 +159,8 @@
                 count += found.free_slots
         return count
 
-    def cold_waits(self) -> list[float]:
-        """Return the seconds until free slots of cold servers may be used."""
+    def cold_slot_waits(self) -> list[float]:
+        """Return the seconds until each free slot of a cold server may be used."""
         found: list[float] = []
         for item in self.open:
             if item.cold_budget is None:
@@ -161,26 +170,26 @@
             found += [seconds for seconds in waits if seconds > 0.0]
         return found
 
-    def least_first_seconds(self, tokens: int) -> float:
-        """Return the time to the first event of a prompt at the fastest server."""
+    def min_first_seconds(self, tokens: int) -> float:
+        """Return the time to the first event of a prompt on the fastest server."""
         return min(
-            (base + tokens / rate for base, rate in self._fastest),
+            (base + tokens / rate for base, rate in self._fastest_speeds),
             default=float("inf"),
         )
 
-    def least_seconds(self, demand: messages.Demand) -> float:
-        """Return the time to the end of an answer, at the best of all speeds."""
-        events = demand.output_tokens * self._least_event_seconds
-        return self.least_first_seconds(demand.prompt_tokens) + events
+    def min_finish_seconds(self, demand: messages.Demand) -> float:
+        """Return a lower bound of the time to the end of an answer."""
+        events = demand.output_tokens * self._min_event_seconds
+        return self.min_first_seconds(demand.prompt_tokens) + events
 
-    def _usual_failing(self, servers: list[fleet.Server]) -> float:
+    def _median_failure_share(self, servers: list[fleet.Server]) -> float:
         now = clock.now()
-        found = [self.times[server.name].failing(now) for server in servers]
+        found = [self.times[server.name].failure_share(now) for server in servers]
         return statistics.median(found) if found else 0.0
 
 
-def _fastest(found: list[Candidate]) -> list[tuple[float, float]]:
-    """Return the speeds that no other server beats for every prompt."""
+def _fastest_speeds(found: list[Candidate]) -> list[tuple[float, float]]:
+    """Return the speeds that no other server beats for all lengths of prompt."""
     speeds = sorted((item.times.base_seconds, -item.times.rate) for item in found)
     best: list[tuple[float, float]] = []
     for base, slowness in speeds:
--- a/packages/daemon/cassiaquay_daemon/decisions/choices.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/choices.py
@@ -1,19 +1,19 @@
-"""What the policy of objectives found out about one server for one demand."""
+"""The estimate of the objectives policy for one demand on one server."""
 
 import typing
 
 
 class Choice(typing.NamedTuple):
-    """A server for a demand.
+    """A server that can run a demand.
 
     Attributes
     ----------
     server : str
-        Its name.
+        Name of the server.
     first_seconds : float
         Estimated time to the first event.
     cost : float
-        Seconds; the least is best.
+        Cost in seconds; the lowest is best.
     is_late : bool
         Whether the first event misses the objective.
     """
--- a/packages/daemon/cassiaquay_daemon/decisions/contents.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/contents.py
@@ -1,4 +1,4 @@
-"""The digest that all attempts of the same request share."""
+"""Content digest that identifies a request across retries."""
 
 import collections.abc
 import hashlib
@@ -9,7 +9,8 @@
 def digest(texts: collections.abc.Iterable[str], body: bytes) -> str:
     """Return a digest of some texts and a body, in hexadecimal.
 
-    Each attempt of a request has an id of its own, and may come to any instance.
+    All attempts of one request have this digest in common: each attempt has its own
+    request id and may arrive at any instance.
     """
     found = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in texts:
--- a/packages/daemon/cassiaquay_daemon/decisions/forecasts.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/forecasts.py
@@ -1,8 +1,9 @@
-"""When the slots of a shard come free, and so how long a demand would wait.
+"""Forecast of when a shard's slots become free, and of the wait of a demand.
 
 Load pattern: under overload the wait for a slot decides whether a request is in time.
-It is reckoned from the ends of what runs: events that are left of each answer at the
-speed of its server. More important requests that arrive meanwhile go before.
+It is estimated from the ends of the running requests: the remaining events of each
+answer at the speed of its server. Requests of more important ranks that arrive in the
+meantime are served first.
 """
 
 import bisect
@@ -10,26 +11,26 @@
 from .. import clock
 from . import arrivals, candidates, shards
 
-# A stream whose first event is this late is given up by its caller, who waits at least
-# two seconds; what waits longer is read for nobody.
+# Callers wait at least two seconds for the first event of a stream and then close it:
+# the prefill of a request that has waited longer than this would be wasted.
 ABANDON_SECONDS = 1.8
-# An answer that is longer than its caller said goes on for about this share of what it
-# has already. Taken to end at once, all that overrun look like slots that are about to
-# come free, and demands wait for them until their time has passed.
+# An answer that exceeds its caller's estimate continues for about this share of its
+# length so far. If such answers counted as about to end, demands would wait for their
+# slots until too late.
 OVERRUN_SHARE = 0.3
 
 
 class Forecast:
-    """The slots of one shard, as reckoned at one moment.
+    """The times at which the slots of one shard become free, as of the last refresh.
 
     Parameters
     ----------
     shard : Shard
-        Whose slots they are.
+        The shard.
     servers : Candidates
         Its servers.
     arriving : Arrivals
-        How many requests of each rank arrive.
+        Arrival rates by rank.
     """
 
     def __init__(
@@ -41,46 +42,48 @@
         self._shard = shard
         self._servers = servers
         self._arriving = arriving
-        # In how many seconds slots come free, the soonest first.
+        # Seconds until each slot becomes free, in ascending order.
         self._free_at: list[float] = []
 
     def refresh(self) -> None:
-        """Reckon from all that runs now."""
+        """Recompute the forecast from all running requests."""
         now = clock.now()
         found = [0.0] * self._servers.free_slots()
-        found += self._servers.cold_waits()
+        found += self._servers.cold_slot_waits()
         for running in self._shard.running.values():
             if running.server in self._servers.times:
-                found.append(self._left(running, now))
+                found.append(self._remaining_seconds(running, now))
         found.sort()
         self._free_at = found
 
-    def granted(self, request_id: str) -> None:
-        """Take in that one of the free slots has been taken."""
+    def take_slot(self, request_id: str) -> None:
+        """Replace a free slot by the end of the request that was granted it."""
         if self._free_at and not self._free_at[0]:
             del self._free_at[0]
-            left = self._left(self._shard.running[request_id], clock.now())
-            bisect.insort(self._free_at, left)
+            remaining = self._remaining_seconds(
+                self._shard.running[request_id], clock.now()
+            )
+            bisect.insort(self._free_at, remaining)
 
     def wait_seconds(self, rank: int, ahead: int) -> float:
-        """Return the estimated wait for a slot behind ``ahead`` others."""
-        ends = self._free_at
-        if not ends:
+        """Return the estimated wait for a slot behind ``ahead`` other demands."""
+        free_at = self._free_at
+        if not free_at:
             return ABANDON_SECONDS
         rate = self._arriving.rate_above(rank)
-        wait = ends[min(ahead, len(ends) - 1)]
-        place = min(ahead + int(rate * wait), len(ends) - 1)
-        return ends[place] * max((ahead + 1) / len(ends), 1.0)
+        wait = free_at[min(ahead, len(free_at) - 1)]
+        position = min(ahead + int(rate * wait), len(free_at) - 1)
+        return free_at[position] * max((ahead + 1) / len(free_at), 1.0)
 
-    def _left(self, running: shards.Running, now: float) -> float:
+    def _remaining_seconds(self, running: shards.Running, now: float) -> float:
         known = self._servers.times[running.server]
         if running.demand is None:
             return known.base_seconds
         events = float(running.demand.output_tokens - running.produced)
         if running.produced:
             events = max(events, running.produced * OVERRUN_SHARE)
-            passed = now - running.produced_at
-            return max(events * known.event_seconds - passed, 0.0)
+            elapsed = now - running.produced_at
+            return max(events * known.event_seconds - elapsed, 0.0)
         return known.expect(float(running.demand.prompt_tokens)).first_seconds + (
             max(events, 0.0) * known.event_seconds
         )
--- a/packages/daemon/cassiaquay_daemon/decisions/lengths.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/lengths.py
@@ -1,34 +1,35 @@
-"""How long prompts and answers are, learned by each owner from its own requests.
+"""Estimated lengths of prompts and answers, which each owner learns from its requests.
 
-Used for every demand: its tokens decide about room on an engine, fairness, size class
-and whether it can be in time. A caller's ``max_tokens`` is only an upper bound.
+The estimates go into every demand: its tokens decide whether it fits on an engine, its
+team's fair share, its size class and whether it can be in time. A caller's
+``max_tokens`` is only an upper bound.
 """
 
 import collections
 
-WEIGHT = 0.1
-# Pairs of service and team that are told apart; the rest share their service's mean.
-MOST_PAIRS = 256
-# More samples than this are not needed before a pair stands for itself.
-OWN_SAMPLES = 5
+MIN_SAMPLE_WEIGHT = 0.1
+# Pairs of service and team with a ratio of their own; the rest use the service's mean.
+MAX_PAIRS = 256
+# Samples after which a pair's own ratio replaces the service's mean.
+MIN_PAIR_SAMPLES = 5
 
 
 class Ratio:
-    """A moving mean of measured over expected."""
+    """A moving average of the ratio of measured to expected length."""
 
     def __init__(self) -> None:
         self.value = 1.0
         self.samples = 0
 
     def learn(self, sample: float) -> None:
-        """Take in a sample."""
+        """Add a sample to the average."""
         self.samples += 1
-        weight = max(WEIGHT, 1.0 / self.samples)
+        weight = max(MIN_SAMPLE_WEIGHT, 1.0 / self.samples)
         self.value += weight * (sample - self.value)
 
 
 class Lengths:
-    """Ratios of measured to stated lengths by service, and by service and team."""
+    """Ratios of measured to stated length by service, and by service and team."""
 
     def __init__(self) -> None:
         self._prompts: dict[str, Ratio] = {}
@@ -37,35 +38,37 @@
         self._pairs = collections.OrderedDict()
 
     def prompt_tokens(self, service: str, stated: int) -> int:
-        """Return the estimate for a prompt that counts ``stated`` by its characters."""
+        """Return the estimated tokens of a prompt that has ``stated`` by characters."""
         ratio = self._prompts.get(service)
         return stated if ratio is None else max(round(stated * ratio.value), 1)
 
-    def output_tokens(self, service: str, team: str, most: int) -> int:
-        """Return the estimate for an answer of at most ``most`` tokens."""
+    def output_tokens(self, service: str, team: str, max_tokens: int) -> int:
+        """Return the estimated tokens of an answer that has at most ``max_tokens``."""
         ratio = self._pairs.get((service, team))
-        if ratio is None or ratio.samples < OWN_SAMPLES:
+        if ratio is None or ratio.samples < MIN_PAIR_SAMPLES:
             ratio = self._answers.get(service)
         if ratio is None:
-            return most
-        return min(max(round(most * ratio.value), 1), most)
+            return max_tokens
+        return min(max(round(max_tokens * ratio.value), 1), max_tokens)
 
     def learn_prompt(self, service: str, stated: int, measured: int) -> None:
-        """Take in how many tokens a prompt had by the engine's count."""
+        """Learn from a prompt's number of tokens as the engine counted them."""
         if stated > 0 and measured > 0:
             self._prompts.setdefault(service, Ratio()).learn(measured / stated)
 
-    def learn_answer(self, service: str, team: str, most: int, measured: int) -> None:
-        """Take in how many tokens a whole answer had."""
-        if most <= 0 or measured <= 0:
+    def learn_answer(
+        self, service: str, team: str, max_tokens: int, measured: int
+    ) -> None:
+        """Learn from the number of tokens of a complete answer."""
+        if max_tokens <= 0 or measured <= 0:
             return
-        sample = measured / most
+        sample = measured / max_tokens
         self._answers.setdefault(service, Ratio()).learn(sample)
         key = (service, team)
         if key not in self._pairs:
             self._pairs[key] = Ratio()
         self._pairs.move_to_end(key)
         self._pairs[key].learn(sample)
-        # Teams come and go by the thousand; those that ask most stay.
-        if len(self._pairs) > MOST_PAIRS:
+        # There may be thousands of teams; the least recently updated pair is removed.
+        if len(self._pairs) > MAX_PAIRS:
             self._pairs.popitem(last=False)
--- a/packages/daemon/cassiaquay_daemon/decisions/loads.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/loads.py
@@ -1,18 +1,19 @@
-"""What is out on one backend server, as running totals and an order of prefills."""
+"""Requests in flight on one backend server: running totals and queue of prefills."""
 
 import collections
 import collections.abc
 import typing
 
-# Reports come twice a second and may be seconds old.
-KEPT_COUNTS = 16
-# Requests on their way to the server and back are no others' requests.
+# Engines report twice a second, and a report may be seconds old.
+MAX_KEPT_COUNTS = 16
+# Tolerance when a report is compared with this keeper's own count: requests on their
+# way to or from the server must not count as requests of other clients.
 REPORT_SLACK_SECONDS = 1.0
 REPORT_HALF_LIFE_SECONDS = 1.0
 
 
 class Prefill(typing.NamedTuple):
-    """A prompt that the engine has not read yet, as far as its keeper knows."""
+    """A granted prompt for which the keeper has seen no first event yet."""
 
     tokens: int
     granted_at: float
@@ -20,16 +21,16 @@
 
 
 class Started(typing.NamedTuple):
-    """A prompt that the engine has just read.
+    """A prompt whose first event has just arrived.
 
     Attributes
     ----------
     tokens : int
         Its uncached tokens.
     alone_seconds : float
-        How long it was the first in the engine's queue.
+        Time for which it was at the head of the engine's prefill queue.
     seconds, expected_seconds : float
-        From the permit to the first event, measured and as estimated.
+        Time from the permit to the first event, measured and estimated.
     """
 
     tokens: int
@@ -39,20 +40,20 @@
 
 
 class Report(typing.NamedTuple):
-    """Requests on a server that this keeper did not grant, and when that was so."""
+    """Number of a server's requests that this keeper did not grant, at a given time."""
 
     foreign: int
     at: float
 
 
 class Load:
-    """Totals of one backend server. No figure is a sum over what is running."""
+    """Running totals of one backend server, updated without scanning its requests."""
 
     def __init__(self) -> None:
         self.count = 0
         self._report = Report(0, float("-inf"))
         self._counts: collections.deque[tuple[float, int]]
-        self._counts = collections.deque(maxlen=KEPT_COUNTS)
+        self._counts = collections.deque(maxlen=MAX_KEPT_COUNTS)
         self.tokens = 0
         self.prefill_tokens = 0
         self._prefills: collections.OrderedDict[str, Prefill]
@@ -62,14 +63,14 @@
     def begin(
         self, request_id: str, uncached: int, now: float, expected: float
     ) -> None:
-        """Note a prompt sent to the engine, which reads in order of arrival."""
+        """Add a prompt granted to the engine, which reads prompts in arrival order."""
         if not self._prefills:
             self._head_since = now
         self._prefills[request_id] = Prefill(uncached, now, expected)
         self.prefill_tokens += uncached
 
     def start(self, request_id: str, at: float) -> Started | None:
-        """Note a first event; return None for a prompt not known as unread."""
+        """Record a first event; return None when the prompt is not in the queue."""
         prefill = self._prefills.get(request_id)
         if prefill is None:
             return None
@@ -84,7 +85,7 @@
         return found
 
     def forget(self, request_id: str, at: float) -> None:
-        """Drop a prompt that ended before it was read."""
+        """Remove a prompt from the prefill queue, if it is still there."""
         prefill = self._prefills.pop(request_id, None)
         if prefill is None:
             return
@@ -92,31 +93,31 @@
         self._head_since = max(self._head_since, at)
 
     def report(self, requests: int, age: float, now: float) -> None:
-        """Take in how many requests the server had ``age`` seconds ago."""
+        """Record how many requests the server had ``age`` seconds ago."""
         self._counts.append((now, self.count))
         at = now - age
-        around = [
+        nearby = [
             count
             for when, count in self._counts
             if abs(when - at) <= REPORT_SLACK_SECONDS
         ]
-        # The most that this keeper had out around then: only what is more than that
-        # is certainly not its own.
-        foreign = max(requests - max(around, default=requests), 0)
+        # Compared with the most that this keeper had in flight around then: only the
+        # excess over that is certainly not its own.
+        foreign = max(requests - max(nearby, default=requests), 0)
         self._report = Report(foreign, at)
 
     def foreign(self, now: float) -> int:
-        """Return the requests of others, weighed by the age of the report."""
+        """Return the requests of other clients, discounted by the report's age."""
         age = max(now - self._report.at, 0.0)
         return int(self._report.foreign * 0.5 ** (age / REPORT_HALF_LIFE_SECONDS))
 
     def backlog_seconds(self, rate: float, now: float) -> float:
-        """Return how long the engine still reads what it has.
+        """Return the time that the engine needs for the prompts in its queue.
 
         Parameters
         ----------
         rate : float
-            Prompt tokens a second.
+            Prompt tokens per second.
         now : float
             Seconds on this clock.
         """
@@ -124,15 +125,15 @@
             return 0.0
         head = next(iter(self._prefills.values()))
         done = max(now - self._head_since, 0.0) * rate
-        # The one being read counts until its first event is seen: an engine that has
-        # slowed down without telling gets nothing more meanwhile.
+        # At least a tenth of the prompt being read stays in the backlog until its first
+        # event arrives, so that an engine which has slowed down gets no more prompts.
         done = min(done, head.tokens * 0.9)
         return (self.prefill_tokens - done) / rate
 
-    def silent(self, seconds: float, now: float) -> int:
-        """Return how many requests wait for a sign longer than ``seconds``.
+    def count_silent(self, seconds: float, now: float) -> int:
+        """Return how many requests have waited for a first event for ``seconds``.
 
-        None, when any other request of the server has given one since.
+        0 when another request of the server has had its first event since then.
         """
         horizon = now - seconds
         if self._head_since > horizon:
@@ -144,8 +145,8 @@
             count += 1
         return count
 
-    def overdue(self, now: float) -> tuple[int, float]:
-        """Return the tokens of the prompt being read and the seconds it has taken."""
+    def current_prefill(self, now: float) -> tuple[int, float]:
+        """Return the tokens of the prompt being read and its seconds at the head."""
         if not self._prefills:
             return 0, 0.0
         head = next(iter(self._prefills.values()))
--- a/packages/daemon/cassiaquay_daemon/decisions/placement.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/placement.py
@@ -1,8 +1,8 @@
-"""Where a demand should run: the engine on which its answer is whole first.
+"""Placement of a demand on the engine that is expected to finish its answer first.
 
-The cost of an engine is time: what it still reads, plus the uncached part of the prompt
-at its learned speed, plus the answer at its learned time per token. A cached prefix,
-a short queue and a fast engine are thus weighed in one unit.
+The cost of an engine is time: its backlog of prefill, plus the uncached part of the
+prompt at its learned prefill rate, plus the answer at its learned time per token. A
+cached prefix, a short queue and a fast engine are thus compared in one unit.
 """
 
 import typing
@@ -12,23 +12,26 @@
 from .. import clock
 from . import affinity, shards, speeds
 
-# How much unread prompt an engine may have when it gets more: enough that it never
-# runs dry before the next permit arrives, little enough that an important request
-# that comes next does not find a long queue that it cannot pass.
-BACKLOG_SECONDS = 0.15
-# Estimates are never exact; what would end this close to its deadline is not begun.
-# The factor is the tier's margin in the fleet text.
+# Maximum prefill backlog of an engine that may get more work: enough that it never
+# idles until the next permit arrives, and little enough that a more important request
+# does not queue for long inside the engine, which serves in order of arrival.
+MAX_BACKLOG_SECONDS = 0.15
+# Safety margin for the error of the estimates: an answer expected to end this close to
+# its deadline is not started. The factor is the default of a tier's margin, which the
+# fleet text (the published configuration) can set.
 MARGIN_FACTOR = 1.3
 MARGIN_SECONDS = 0.05
-# Waiting for a better engine must gain this much, and may not take longer than this.
-CHEAP_TOKENS = 512
-WAIT_GAIN = 0.8
-WAIT_LEAST_SECONDS = 0.02
-WAIT_SHARE = 0.7
+# Prefills up to this length are worth repeating on each engine.
+CHEAP_PREFILL_TOKENS = 512
+# Waiting for a better engine must lower the cost to at most this share and by at least
+# this time, and may take at most this share of the remaining time.
+WAIT_MAX_COST_SHARE = 0.8
+WAIT_MIN_GAIN_SECONDS = 0.02
+WAIT_MAX_TIME_SHARE = 0.7
 
 
 class Engine:
-    """What the policy knows of one backend server."""
+    """Learned speed and cache contents of one backend server."""
 
     def __init__(self, server: fleet.Server, start_tokens: int):
         self.server = server
@@ -37,7 +40,7 @@
 
 
 class View:
-    """One engine as it is during one pass over the queue."""
+    """State of one engine during one pass over the queue."""
 
     def __init__(self, engine: Engine, shard: shards.Shard, now: float):
         self.engine = engine
@@ -48,89 +51,93 @@
         self.estimate = engine.speed.estimate(now, not self._load.count)
         self._foreign = self._load.foreign(now)
         self.backlog = 0.0
-        # Held for a more important demand; a lower tier may wait for it, too.
-        self.held = False
-        self._promised = 0.0
+        # Reserved for a more important demand; lower tiers may still wait for it.
+        self.is_reserved = False
+        self._awaiting_seconds = 0.0
         self.refresh()
 
     @property
     def is_full(self) -> bool:
-        """Whether nothing at all fits now."""
+        """Whether the engine can take no request of any size now."""
         return (
-            self.held
+            self.is_reserved
             or not self._shard.cold_budgets.allows(self.name)
             or self._load.count + self._foreign >= self.engine.server.slots
-            or self.backlog > BACKLOG_SECONDS
+            or self.backlog > MAX_BACKLOG_SECONDS
         )
 
-    def find(self, demand: messages.Demand) -> affinity.Found:
-        """Return what the engine has of a demand's prompt, now and before long."""
+    def find(self, demand: messages.Demand) -> affinity.CachedPrefix:
+        """Return how much of a demand's prompt the engine caches, now and soon."""
         found = self.engine.index.find(demand.id, demand.blocks, demand.block_count)
-        most = demand.prompt_tokens
-        return affinity.Found(min(found.cached, most), min(found.coming, most))
+        prompt_tokens = demand.prompt_tokens
+        return affinity.CachedPrefix(
+            min(found.cached, prompt_tokens), min(found.pending, prompt_tokens)
+        )
 
     def fits(self, tokens: int) -> bool:
-        """Tell whether a request of this many tokens may go there now."""
+        """Return whether the engine can take a request of this many tokens now."""
         if self.is_full:
             return False
         return not self._load.tokens or (
             self._load.tokens + tokens <= self.engine.speed.limit
         )
 
-    def promise(self, choice: "Choice") -> None:
-        """Note that a demand waits for this engine; those behind it wait longer.
+    def add_awaiting(self, choice: "Choice") -> None:
+        """Add a demand that waits for this engine to the wait of later demands.
 
-        Without this all would wait for the same fast engine, each taking itself for
-        the next one, while other engines stand idle.
+        Otherwise all demands would wait for the same fast engine, each as if it were
+        the next in line, while other engines are idle.
         """
         slot = choice.finish_seconds - choice.first_seconds
-        self._promised += choice.reading_seconds + slot / self.engine.server.slots
+        self._awaiting_seconds += (
+            choice.reading_seconds + slot / self.engine.server.slots
+        )
 
     def refresh(self) -> None:
-        """Take in a grant."""
+        """Recompute the backlog after a grant."""
         self.backlog = self._load.backlog_seconds(self.estimate.prefill_rate, self._now)
 
     @property
-    def crowd_seconds(self) -> float:
-        """What the requests that run there add to the cost, at most one token's time.
+    def occupancy_seconds(self) -> float:
+        """Cost of the engine's occupancy, at most the time of one token.
 
-        Of servers that are equal otherwise the emptier one is taken.
+        A tie-break: of otherwise equal servers the less loaded one is chosen.
         """
         share = self._load.count / self.engine.server.slots
         return share * self.estimate.token_seconds
 
     @property
-    def turn_seconds(self) -> float:
-        """Estimated wait besides the backlog: for those promised, and for a slot."""
+    def slot_wait_seconds(self) -> float:
+        """Estimated wait besides the backlog: for earlier demands and for a slot."""
         if self._load.count < self.engine.server.slots:
-            return self._promised
-        # One of the slots comes free after about a slot's share of an answer.
-        return self._promised + self.estimate.token_seconds
+            return self._awaiting_seconds
+        # The slots are staggered: one becomes free after about one token's time.
+        return self._awaiting_seconds + self.estimate.token_seconds
 
     @property
     def wait_seconds(self) -> float:
         """Estimated time until the engine may get one more request."""
-        return max(self.backlog - BACKLOG_SECONDS, 0.0) + self.turn_seconds
+        return max(self.backlog - MAX_BACKLOG_SECONDS, 0.0) + self.slot_wait_seconds
 
 
 class Choice(typing.NamedTuple):
-    """An engine for a demand.
+    """The estimate for a demand on one engine.
 
     Attributes
     ----------
     view : View
         The engine.
     cached_tokens : int
-        Prompt tokens that its cache is taken to hold.
+        Prompt tokens that its cache probably holds.
     first_seconds, finish_seconds : float
-        Estimated time to the first event and to the end, when granted as soon as the
-        engine may get it.
+        Estimated time to the first event and to the end of the answer, when the demand
+        is granted as soon as the engine can take it.
     reading_seconds : float
-        Estimated time in which the engine reads the uncached part of the prompt.
+        Estimated prefill time of the uncached part of the prompt.
     cost : float
-        Seconds; the least is best.
+        Cost in seconds; the lowest is best.
     fits : bool
-        Whether that is now.
+        Whether the engine can take the demand now.
     """
 
     view: View
@@ -143,24 +150,24 @@
 
 
 class Options(typing.NamedTuple):
-    """What can be done with a demand.
+    """The possible placements of a demand.
 
     Attributes
     ----------
     best : Choice or None
-        Where to send it now; None when it must wait.
+        The engine to send it to now; None when it must wait.
     awaited : Choice or None
-        The engine that it waits for though another one is free now.
+        The engine worth waiting for although another one is free now.
     usable : list of str
         Engines that could serve it in time, now or soon.
-    least_seconds : float
-        Estimated time to the end on the best idle engine.
+    min_finish_seconds : float
+        Estimated time to the end of the answer on the fastest engine, were it idle.
     """
 
     best: Choice | None
     awaited: Choice | None
     usable: list[str]
-    least_seconds: float
+    min_finish_seconds: float
 
 
 def weigh(
@@ -170,7 +177,7 @@
     pressure: float = 0.0,
     margin: float = MARGIN_FACTOR,
 ) -> Options:
-    """Return where a demand can go.
+    """Return the possible placements of a demand.
 
     Parameters
     ----------
@@ -181,18 +188,18 @@
     views : list of View
         The engines that it may use.
     pressure : float
-        Weight of the engine time that reading the prompt takes from others.
+        Weight of the engine time that the prefill takes from other requests.
     margin : float
-        Times the estimated time that must be left.
+        Factor by which the remaining time must exceed the estimated time.
     """
     left = deadline - clock.now()
     tokens = demand.prompt_tokens + demand.output_tokens
     usable = []
     now_best: Choice | None = None
     soon_best: Choice | None = None
-    least = float("inf")
-    # Servers to avoid refused a connection a moment ago. When that is all of them, the
-    # request may try again rather than be told that nothing could serve it.
+    min_seconds = float("inf")
+    # Servers to avoid have just refused a connection. If that holds for all of them,
+    # the request retries one instead of being refused.
     avoid = set(demand.avoid)
     if all(view.name in avoid for view in views):
         avoid = set()
@@ -200,7 +207,7 @@
         if view.name in avoid:
             continue
         choice = _choose(demand, tokens, view, pressure)
-        least = min(least, _idle_seconds(demand, choice))
+        min_seconds = min(min_seconds, _idle_seconds(demand, choice))
         if not in_time(choice.finish_seconds, left, margin):
             continue
         usable.append(view.name)
@@ -211,34 +218,34 @@
             soon_best = choice
     if now_best is not None and soon_best is not None:
         if _worth_waiting(now_best, soon_best, left):
-            return Options(None, soon_best, usable, least)
-    return Options(now_best, None, usable, least)
+            return Options(None, soon_best, usable, min_seconds)
+    return Options(now_best, None, usable, min_seconds)
 
 
 def work(demand: messages.Demand, views: list[View]) -> int:
-    """Return the least work that a demand is for one of the engines.
+    """Return the work of a demand on the engine where it is least.
 
-    In prompt tokens: those not cached there, and those that the engine could read in
-    its share of the time that it takes to generate the answer.
+    In prompt tokens: the uncached ones, plus those that the engine could read in one
+    slot's share of the time in which it generates the answer.
     """
-    least = float(demand.prompt_tokens + demand.output_tokens)
+    min_seconds = float(demand.prompt_tokens + demand.output_tokens)
     for number, view in enumerate(views):
         estimate = view.estimate
         cached = max(view.find(demand))
         step = estimate.floor_seconds * estimate.prefill_rate
         found = float(max(demand.prompt_tokens - cached, 0))
         found += demand.output_tokens * step / view.engine.server.slots
-        least = found if not number else min(least, found)
-    return max(int(least), 1)
+        min_seconds = found if not number else min(min_seconds, found)
+    return max(int(min_seconds), 1)
 
 
 def choose(demand: messages.Demand, view: View) -> Choice:
-    """Return what one engine would mean for a demand."""
+    """Return the estimate for a demand on one engine."""
     return _choose(demand, demand.prompt_tokens + demand.output_tokens, view, 0.0)
 
 
 def in_time(seconds: float, left: float, margin: float = MARGIN_FACTOR) -> bool:
-    """Tell whether something that is estimated to take so long ends in time."""
+    """Return whether an estimated duration fits into the time left, with margin."""
     return seconds * margin + MARGIN_SECONDS <= left
 
 
@@ -246,21 +253,25 @@
     demand: messages.Demand, tokens: int, view: View, pressure: float
 ) -> Choice:
     estimate = view.estimate
-    cached, coming = view.find(demand)
+    cached, pending = view.find(demand)
     first = view.backlog + estimate.token_seconds
-    # Sent now it would read once more what is being read for another request.
-    is_early = coming > cached + CHEAP_TOKENS
-    if is_early:
-        cached = coming
+    # Sent now, it would repeat a prefill that is in progress for another request.
+    is_prefix_pending = pending > cached + CHEAP_PREFILL_TOKENS
+    if is_prefix_pending:
+        cached = pending
     reading = (demand.prompt_tokens - cached) / estimate.prefill_rate
     first += reading
-    fits = not is_early and view.fits(tokens)
+    fits = not is_prefix_pending and view.fits(tokens)
     if not fits:
-        first += view.turn_seconds
+        first += view.slot_wait_seconds
     finish = first + demand.output_tokens * estimate.token_seconds
-    # A short prefix is read once on each engine and serves many from then on.
-    dear = max(demand.prompt_tokens - cached - CHEAP_TOKENS, 0)
-    cost = finish + pressure * dear / estimate.prefill_rate + view.crowd_seconds
+    # A short prefix is read once per engine and then serves many requests.
+    expensive_tokens = max(demand.prompt_tokens - cached - CHEAP_PREFILL_TOKENS, 0)
+    cost = (
+        finish
+        + pressure * expensive_tokens / estimate.prefill_rate
+        + view.occupancy_seconds
+    )
     return Choice(view, cached, first, finish, reading, cost, fits)
 
 
@@ -272,6 +283,9 @@
 
 def _worth_waiting(now_best: Choice, soon_best: Choice, left: float) -> bool:
     gain = now_best.cost - soon_best.cost
-    if gain < WAIT_LEAST_SECONDS or soon_best.view.wait_seconds > left * WAIT_SHARE:
+    if (
+        gain < WAIT_MIN_GAIN_SECONDS
+        or soon_best.view.wait_seconds > left * WAIT_MAX_TIME_SHARE
+    ):
         return False
-    return soon_best.cost < now_best.cost * WAIT_GAIN
+    return soon_best.cost < now_best.cost * WAIT_MAX_COST_SHARE
--- a/packages/daemon/cassiaquay_daemon/decisions/policies.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/policies.py
@@ -1,4 +1,4 @@
-"""Policies of a keeper: in which order demands are served, and where."""
+"""Scheduling policies of a keeper: the order of demands and their servers."""
 
 import typing
 
@@ -8,32 +8,32 @@
 
 
 class Policy(typing.Protocol):
-    """Decides for one shard."""
+    """Decides which demands of one shard are granted or shed."""
 
     def __init__(self, shard: shards.Shard): ...
 
     def serve(self) -> None:
-        """Grant and shed what can be granted and must be shed now."""
+        """Grant all demands that can be granted now; shed those that must be."""
 
     def learn(self, release: messages.Release) -> None:
-        """Take in what a finished request cost; its permit is still known."""
+        """Learn from a finished request, whose permit is still in the shard."""
 
 
 class ServerEstimate(typing.NamedTuple):
-    """What one backend server would mean for a demand, as a policy estimates it.
+    """A policy's estimate for a demand on one backend server.
 
     Attributes
     ----------
     server : str
-        Backend server.
+        Name of the backend server.
     fits : bool
-        Whether it may get the demand now.
+        Whether it can take the demand now.
     cached_tokens : int
-        Prompt tokens that its cache is taken to hold.
+        Prompt tokens that its cache probably holds.
     first_seconds, finish_seconds : float
         Time to the first event and to the end of the answer.
     limit_tokens : int
-        Tokens in flight that it is allowed now.
+        Its current limit of tokens in flight.
     """
 
     server: str
@@ -46,21 +46,21 @@
 
 @typing.runtime_checkable
 class ExplainingPolicy(typing.Protocol):
-    """A policy that can tell operators how it weighs the servers."""
+    """A policy that can show operators its estimates for each server."""
 
     def explain(self, demand: messages.Demand) -> list[ServerEstimate]:
-        """Return what each open server would mean for a demand."""
+        """Return each open server's estimate for a demand."""
 
 
 @typing.runtime_checkable
 class CacheAwarePolicy(typing.Protocol):
-    """A policy that reckons with the prefix caches of engines."""
+    """A policy that takes the prefix caches of engines into account."""
 
     def cache_changed(self, server: str, stored: bool, blocks: list[int]) -> None:
-        """Take in that an engine has stored or dropped blocks a while ago."""
+        """Handle an engine's delayed report of stored or evicted blocks."""
 
     def cache_lost(self, server: str) -> None:
-        """Take in that an engine's cache is empty."""
+        """Handle an engine's report that its cache is empty."""
 
 
 policies: registry.Registry[type[Policy]] = registry.Registry("policy")
--- a/packages/daemon/cassiaquay_daemon/decisions/quarantine.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/quarantine.py
@@ -1,9 +1,10 @@
-"""Requests that crash the servers which run them, and are refused for that.
+"""Quarantine of requests that crash the servers which run them.
 
-Load pattern: a request crashes each server that begins to run it, and so breaks off all
-else that runs there. Its caller retries at any instance until no server is left. One
-crash proves nothing, since everything on the server is suspect. A request that was on
-several servers when they crashed, and that none has completed, is taken for the cause.
+Load pattern: a request crashes each server that starts to run it, and thereby aborts
+all other requests there. Its caller retries at any instance until no server is left.
+One crash proves nothing, since every request on the server is suspect. A request that
+was running on several servers when they crashed, and that no server has completed, is
+assumed to be the cause and is held: the instances refuse it.
 """
 
 import collections
@@ -16,27 +17,27 @@
 
 from .. import clock
 
-# Retry-After of a held request: it would be refused again sooner.
+# Retry-After of a held request; an earlier retry would be refused again.
 RETRY_MS = 60_000
-# A crash of a server makes suspects of all that ran on it.
-MOST_SUSPECTS = 4096
-MOST_COMPLETED = 8192
-# Suspects with fewer crashes are left out of the comparison with other instances: when
-# many servers crash at once, they are thousands.
-LEAST_COMPARED_CRASHES = 2
-# Pause between two looks for what is old enough to be forgotten.
-FORGET_SECONDS = 1.0
+# Each crash of a server adds all requests that were running on it.
+MAX_SUSPECTS = 4096
+MAX_COMPLETED = 8192
+# Suspects with fewer crashes are not compared with other instances: there are thousands
+# of them when many servers crash at once.
+MIN_COMPARED_CRASHES = 2
+# Minimum interval between two removals of expired suspects.
+FORGET_INTERVAL_SECONDS = 1.0
 
 
 class Report(typing.NamedTuple):
-    """What is known of one request.
+    """The crashes and completion recorded for one request.
 
     Attributes
     ----------
     content : str
-        Digest that all attempts of the request share.
+        Content digest, equal for all attempts of the request.
     servers : frozenset of str
-        Servers, by their starts, that crashed while they ran it.
+        Servers that crashed while running it, each identified together with its start.
     is_cleared : bool
         Whether a server has completed it.
     age : float
@@ -62,12 +63,12 @@
     Parameters
     ----------
     settings : Settings
-        How many crashes are enough, and for how long a request is remembered.
+        Number of crashes after which a request is held, and how long it is recorded.
 
     Attributes
     ----------
     is_history_lost : callable
-        Tells whether earlier knowledge was lost; one crash less is enough then.
+        Returns whether earlier records were lost; then one crash fewer is enough.
     """
 
     def __init__(self, settings: settings_schema.Settings):
@@ -75,7 +76,7 @@
         self._gateway = settings.gateway
         self._suspects: collections.OrderedDict[str, _Suspect]
         self._suspects = collections.OrderedDict()
-        self._forgot_at = float("-inf")
+        self._removed_expired_at = float("-inf")
         self._completed: collections.OrderedDict[str, None] = collections.OrderedDict()
         self._digest: int | None = 0
 
@@ -86,78 +87,78 @@
 
     @property
     def suspect_count(self) -> int:
-        """Number of requests that were on a server when it crashed."""
+        """Number of recorded requests that were on a server when it crashed."""
         return len(self._suspects)
 
     @property
     def digest(self) -> int:
-        """Digest of what :meth:`reports` returns, 0 for nothing."""
-        self._forget()
+        """Digest of the :meth:`reports`; 0 when there are none."""
+        self._remove_expired()
         if self._digest is None:
-            self._digest = self._digest_now()
+            self._digest = self._compute_digest()
         return self._digest
 
     def adopt(self, settings: settings_schema.Settings) -> None:
-        """Take in changed settings."""
+        """Use changed settings from now on."""
         self._gateway = settings.gateway
 
     def holds(self, content: str) -> bool:
-        """Return whether a request must not be sent to a server."""
+        """Return whether a request is held and must not be sent to a server."""
         found = self._suspects.get(content)
         return found is not None and self._is_held(found)
 
     def record_refusal(self, content: str) -> None:
-        """Keep a held request for as long as its caller retries."""
+        """Record a refused attempt, so that the hold lasts while its caller retries."""
         found = self._suspects.get(content)
         if found is not None:
-            self._see(content, found, clock.now())
+            self._record_seen(content, found, clock.now())
 
     def crashed(self, content: str, server: str) -> bool:
-        """Note a server that crashed with a request; return whether that is news."""
+        """Record a server's crash; return whether it changes the request's report."""
         return self.learn(Report(content, frozenset([server]), False, 0.0))
 
     def completed(self, content: str) -> bool:
-        """Note that a server has completed a request; return whether that is news."""
+        """Record a completion; return whether it changes the request's report."""
         self._completed[content] = None
         self._completed.move_to_end(content)
-        if len(self._completed) > MOST_COMPLETED:
+        if len(self._completed) > MAX_COMPLETED:
             self._completed.popitem(last=False)
         if content not in self._suspects:
             return False
         return self.learn(Report(content, frozenset(), True, 0.0))
 
     def learn(self, report: Report) -> bool:
-        """Take in what another instance knows; return whether something is news."""
+        """Merge a report; return whether it changed what is recorded here."""
         seen_at = clock.now() - report.age
         if report.age > self._gateway.quarantine_seconds:
             return False
         found = self._suspects.get(report.content)
         if found is None:
             found = self._suspects[report.content] = _Suspect()
-            if len(self._suspects) > MOST_SUSPECTS:
+            if len(self._suspects) > MAX_SUSPECTS:
                 self._suspects.popitem(last=False)
         # This instance may have seen the request complete before the first crash.
         is_cleared = report.is_cleared or report.content in self._completed
         before = len(found.servers), found.is_cleared
         found.servers |= report.servers
         found.is_cleared |= is_cleared
-        self._see(report.content, found, seen_at)
-        is_news = (len(found.servers), found.is_cleared) != before
-        if is_news:
+        self._record_seen(report.content, found, seen_at)
+        is_changed = (len(found.servers), found.is_cleared) != before
+        if is_changed:
             self._digest = None
-        return is_news
+        return is_changed
 
     def report(self, content: str) -> Report:
-        """Return what is known of a request."""
+        """Return the report of a request."""
         found = self._suspects.get(content) or _Suspect()
         age = max(clock.now() - found.seen_at, 0.0)
         return Report(content, frozenset(found.servers), found.is_cleared, age)
 
     def reports(self) -> list[Report]:
-        """Return what is known of requests with several crashes."""
+        """Return the reports of requests with several crashes."""
         found = []
         for content, suspect in self._suspects.items():
-            if len(suspect.servers) >= LEAST_COMPARED_CRASHES:
+            if len(suspect.servers) >= MIN_COMPARED_CRASHES:
                 found.append(self.report(content))
         return found
 
@@ -169,17 +170,20 @@
             return self.is_history_lost()
         return missing <= 0
 
-    def _see(self, content: str, found: _Suspect, seen_at: float) -> None:
-        # The one that was seen last stands at the end.
+    def _record_seen(self, content: str, found: _Suspect, seen_at: float) -> None:
+        # Ordered by the time at which a suspect was last seen.
         if seen_at > found.seen_at:
             found.seen_at = seen_at
             self._suspects.move_to_end(content)
 
-    def _forget(self) -> None:
+    def _remove_expired(self) -> None:
         now = clock.now()
-        if not self._suspects or now < self._forgot_at + FORGET_SECONDS:
+        if (
+            not self._suspects
+            or now < self._removed_expired_at + FORGET_INTERVAL_SECONDS
+        ):
             return
-        self._forgot_at = now
+        self._removed_expired_at = now
         horizon = now - self._gateway.quarantine_seconds
         for content, found in list(self._suspects.items()):
             if found.seen_at >= horizon:
@@ -187,7 +191,7 @@
             del self._suspects[content]
             self._digest = None
 
-    def _digest_now(self) -> int:
+    def _compute_digest(self) -> int:
         lines = []
         for report in self.reports():
             lines.append((report.content, sorted(report.servers), report.is_cleared))
--- a/packages/daemon/cassiaquay_daemon/decisions/queues.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/queues.py
@@ -1,10 +1,10 @@
-"""The queue of one shard: by tier, team and size, so that nobody walks through it all.
+"""The queue of one shard, indexed by tier, team and size to avoid scanning it.
 
 Between tiers the order is strict. Between the teams of a tier it is by virtual time:
-work granted, divided by the team's weight. Within a team small work goes first:
-lengths differ a hundredfold, and one history takes what fifty questions need. Work is
-in prompt tokens: those not cached, and those that the engine could have read in the
-time that it takes to generate the answer.
+granted work divided by the team's weight. Within a team small demands go first: lengths
+differ a hundredfold, and one long chat history takes the work of fifty short questions.
+Work is in prompt tokens: the uncached ones, plus those that the engine could read in
+the time in which it generates the answer.
 """
 
 import collections
@@ -13,13 +13,13 @@
 
 from . import shards
 
-SIZE_STEP = 2
+SIZE_CLASS_FACTOR = 2
 
 Measure = collections.abc.Callable[[shards.Waiting], int]
 
 
-class Place(typing.NamedTuple):
-    """Where a demand was put; a repeat of it may carry other estimates."""
+class QueueEntry(typing.NamedTuple):
+    """The index entry of a demand; a renewal of it may carry other estimates."""
 
     rank: int
     team: str
@@ -31,41 +31,41 @@
     """The waiting demands of one team in one tier."""
 
     def __init__(self) -> None:
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.count = 0
-        self._classes: dict[int, collections.OrderedDict[str, shards.Waiting]] = {}
+        self._size_classes: dict[int, collections.OrderedDict[str, shards.Waiting]] = {}
 
     def add(self, size: int, waiting: shards.Waiting) -> None:
         """Add a demand of a size class."""
-        members = self._classes.setdefault(size, collections.OrderedDict())
+        members = self._size_classes.setdefault(size, collections.OrderedDict())
         members[waiting.demand.id] = waiting
         self.count += 1
 
     def remove(self, size: int, request_id: str) -> None:
         """Remove a demand."""
-        if self._classes[size].pop(request_id, None) is not None:
+        if self._size_classes[size].pop(request_id, None) is not None:
             self.count -= 1
 
     def ids(self) -> collections.abc.Iterator[str]:
         """Yield the demands, small ones first, then in order of arrival."""
-        for size in sorted(self._classes):
-            yield from self._classes[size]
+        for size in sorted(self._size_classes):
+            yield from self._size_classes[size]
 
     def last(self) -> str:
         """Return the demand that would be served last."""
-        for size in sorted(self._classes, reverse=True):
-            if self._classes[size]:
-                return next(reversed(self._classes[size]))
+        for size in sorted(self._size_classes, reverse=True):
+            if self._size_classes[size]:
+                return next(reversed(self._size_classes[size]))
         raise LookupError("the queue is empty")
 
 
 class TierQueues:
-    """All waiting demands of a shard; an observer of it.
+    """All waiting demands of a shard, kept up to date as an observer of the shard.
 
     Parameters
     ----------
     shard : Shard
-        Whose demands they are.
+        The shard.
     measure : callable
         Returns the work of a demand, in prompt tokens.
     """
@@ -74,41 +74,41 @@
         self._shard = shard
         self._measure = measure
         self._tiers: dict[int, dict[str, TeamQueue]] = {}
-        self._work: collections.Counter[int] = collections.Counter()
-        self._smaller: dict[int, collections.Counter[int]] = {}
-        self._places: dict[str, Place] = {}
+        self._work_by_rank: collections.Counter[int] = collections.Counter()
+        self._work_by_size: dict[int, collections.Counter[int]] = {}
+        self._entries: dict[str, QueueEntry] = {}
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._entries)
 
     def add(self, waiting: shards.Waiting) -> None:
-        """Add a demand; a team that was idle gets no credit for that."""
+        """Add a demand; its team gets no credit for time without demands."""
         demand = waiting.demand
         teams = self._tiers.setdefault(demand.rank, {})
         queue = teams.get(demand.team)
         if queue is None:
             queue = teams[demand.team] = TeamQueue()
         if not queue.count:
-            active = [item.virtual for item in teams.values() if item.count]
-            queue.virtual = virtual_of_newcomer(queue.virtual, active)
+            active = [item.virtual_time for item in teams.values() if item.count]
+            queue.virtual_time = initial_virtual_time(queue.virtual_time, active)
         work = self._measure(waiting)
-        place = Place(demand.rank, demand.team, size_of(work), work)
-        queue.add(place.size, waiting)
-        self._places[demand.id] = place
-        self._work[place.rank] += place.work
-        sizes = self._smaller.setdefault(place.rank, collections.Counter())
-        sizes[place.size] += place.work
+        entry = QueueEntry(demand.rank, demand.team, size_class(work), work)
+        queue.add(entry.size, waiting)
+        self._entries[demand.id] = entry
+        self._work_by_rank[entry.rank] += entry.work
+        sizes = self._work_by_size.setdefault(entry.rank, collections.Counter())
+        sizes[entry.size] += entry.work
 
     def remove(self, waiting: shards.Waiting) -> None:
         """Remove a demand."""
-        place = self._places.pop(waiting.demand.id)
-        teams = self._tiers[place.rank]
-        teams[place.team].remove(place.size, waiting.demand.id)
-        self._work[place.rank] -= place.work
-        self._smaller[place.rank][place.size] -= place.work
+        entry = self._entries.pop(waiting.demand.id)
+        teams = self._tiers[entry.rank]
+        teams[entry.team].remove(entry.size, waiting.demand.id)
+        self._work_by_rank[entry.rank] -= entry.work
+        self._work_by_size[entry.rank][entry.size] -= entry.work
 
     def ranks(self) -> list[int]:
-        """Return the ranks at which somebody waits, the most important first."""
+        """Return the ranks that have waiting demands, the most important first."""
         return [
             rank
             for rank in sorted(self._tiers)
@@ -116,10 +116,10 @@
         ]
 
     def teams(self, rank: int) -> list[str]:
-        """Return the waiting teams of a tier, the one that is owed most first."""
+        """Return the waiting teams of a tier in ascending order of virtual time."""
         teams = self._tiers.get(rank, {})
         waiting = [name for name in teams if teams[name].count]
-        return sorted(waiting, key=lambda name: teams[name].virtual)
+        return sorted(waiting, key=lambda name: teams[name].virtual_time)
 
     def ids(self, rank: int, team: str) -> collections.abc.Iterator[str]:
         """Yield a team's demands in the order of service."""
@@ -130,46 +130,50 @@
         return self._tiers[rank][team].count
 
     def work(self, request_id: str) -> int:
-        """Return the work of a waiting demand as it was measured last."""
-        return self._places[request_id].work
+        """Return the work of a waiting demand as last measured."""
+        return self._entries[request_id].work
 
-    def measure_again(self, waiting: shards.Waiting) -> None:
-        """Take in that the work of a demand may have changed."""
-        place = self._places[waiting.demand.id]
-        if size_of(self._measure(waiting)) == place.size:
+    def remeasure(self, waiting: shards.Waiting) -> None:
+        """Measure a demand's work again and move it if its size class changed."""
+        entry = self._entries[waiting.demand.id]
+        if size_class(self._measure(waiting)) == entry.size:
             return
         self.remove(waiting)
         self.add(waiting)
 
     def charge(self, rank: int, team: str, work: int) -> None:
-        """Count granted work against a team."""
+        """Add granted work to a team's virtual time."""
         weight = self._shard.weights.get(team, 1.0)
-        self._tiers[rank][team].virtual += work / weight
+        self._tiers[rank][team].virtual_time += work / weight
 
     def work_before(self, request_id: str) -> int:
         """Return the work that is served before a waiting demand."""
-        place = self._places[request_id]
-        found = sum(self._work[other] for other in self._work if other < place.rank)
-        sizes = self._smaller[place.rank]
-        found += sum(sizes[size] for size in sizes if size <= place.size)
-        return found - place.work
+        entry = self._entries[request_id]
+        found = sum(
+            self._work_by_rank[other]
+            for other in self._work_by_rank
+            if other < entry.rank
+        )
+        sizes = self._work_by_size[entry.rank]
+        found += sum(sizes[size] for size in sizes if size <= entry.size)
+        return found - entry.work
 
     def last(self) -> str:
-        """Return the demand to give up first: lowest tier, richest team, largest."""
+        """Return the demand to shed first: lowest tier, team served most, largest."""
         rank = self.ranks()[-1]
         team = self.teams(rank)[-1]
         return self._tiers[rank][team].last()
 
 
-def virtual_of_newcomer(virtual: float, active: list[float]) -> float:
-    """Return the virtual time of a team that begins to wait beside active ones.
+def initial_virtual_time(virtual_time: float, active: list[float]) -> float:
+    """Return the virtual time of a team that had no demands, beside active ones.
 
-    A team that was idle gets no credit for that: it would be served alone until it had
-    caught up with what the others got meanwhile.
+    Idle time gives no credit: otherwise the team would be served alone until it had
+    caught up with the work granted to the others in the meantime.
     """
-    return max(virtual, min(active, default=0.0))
+    return max(virtual_time, min(active, default=0.0))
 
 
-def size_of(work: int) -> int:
+def size_class(work: int) -> int:
     """Return the size class: one more for each doubling of the work."""
-    return work.bit_length() // (SIZE_STEP.bit_length() - 1)
+    return work.bit_length() // (SIZE_CLASS_FACTOR.bit_length() - 1)
--- a/packages/daemon/cassiaquay_daemon/decisions/reservations.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/reservations.py
@@ -1,37 +1,38 @@
-"""Slots that are kept for a tier of which a request was shed.
+"""Slots that are kept for a tier after one of its requests was shed.
 
 Load pattern: a burst fills all slots, and requests of a higher tier are shed because no
-slot comes free in time. A slot that comes free sooner than reckoned belongs to that
-tier: given to a lower one, the lower is served in place of the higher that was refused.
-
-One slot is kept for each request shed, not all of them: in a pool of hundreds of slots
-some request is shed in every moment of a burst, and slots that stand empty for it
-refuse many others. It is kept until the shed request would have been late, or until one
-of its tier or above gets a slot.
+slot is expected to become free in time. If a slot becomes free sooner than expected, it
+is kept for that tier: otherwise a lower tier would be served in place of the refused
+higher one.
+
+One slot is kept for each shed request, not all slots: in a pool of hundreds of slots
+some request is shed at every moment of a burst, and keeping all slots empty for it
+would refuse many others. The slot is kept until the shed request would have been late,
+or until a request of its tier or above gets a slot.
 """
 
 import typing
 
 
-class _Kept(typing.NamedTuple):
+class _KeptSlot(typing.NamedTuple):
     rank: int
     until: float
 
 
 class Reservations:
-    """What one shard keeps."""
+    """The slots that one shard keeps."""
 
     def __init__(self) -> None:
-        self._kept: list[_Kept] = []
+        self._kept: list[_KeptSlot] = []
 
     def add(self, rank: int, until: float) -> None:
-        """Keep one slot for a rank until a time; seconds on the daemon's clock."""
-        self._kept.append(_Kept(rank, until))
+        """Keep one slot for a rank until a time, in seconds on the daemon's clock."""
+        self._kept.append(_KeptSlot(rank, until))
 
     def use(self, rank: int) -> None:
-        """Take in that a request of a rank got a slot.
+        """Release one kept slot after a request of a rank got a slot.
 
-        It was kept for that rank, or for a lower one that is next to be served.
+        That is the slot kept for the most important rank at or below this one.
         """
         found = min((kept for kept in self._kept if kept.rank >= rank), default=None)
         if found is not None:
--- a/packages/daemon/cassiaquay_daemon/decisions/service_times.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/service_times.py
@@ -1,10 +1,11 @@
-"""How fast one backend server is and how well it does: learned from its own work.
+"""Speed and health of one backend server, learned from the requests that it served.
 
 Load pattern: servers of one pool differ threefold in speed, some slow down for seconds,
-some fall silent or fail part of their work while their health check is good. Reports
-come seconds late, so only what owners see counts: times of first events, times between
-events, ends. Slower is believed sooner than faster: work sent to a server that has just
-become slow is late, while one that became fast only waits a little longer for work.
+some fall silent or fail part of their requests while their health check passes. Reports
+of the servers arrive seconds late, so only the owners' observations count: times of
+first events, times between events, ends. Estimates follow a slowdown faster than a
+speed-up: work sent to a server that has just become slow is late, while one that has
+become fast only gets work a little later than it could.
 """
 
 import math
@@ -12,42 +13,43 @@
 
 from .. import clock, logs
 
-# Assumed until a server's own work shows its speed.
+# Initial estimates, used until a server has served requests.
 START_RATE = 60_000.0
 START_EVENT_SECONDS = 0.025
 START_BASE_SECONDS = 0.05
-# Prompts below this say more about the fixed part of the first event than of the rate.
-LEAST_SAMPLE_TOKENS = 1500
+# The time to the first event of shorter prompts is dominated by its fixed part; they
+# are samples of `base_seconds`, longer ones of `rate`.
+MIN_RATE_SAMPLE_TOKENS = 1500
 SLOWER_WEIGHT = 0.4
-# Weight of one whole answer in the mean of their lengths.
-WHOLE_WEIGHT = 0.1
-START_WHOLE_SECONDS = 1.0
+# Weight of one request in the mean time for which requests occupy a slot.
+SLOT_WEIGHT = 0.1
+START_SLOT_SECONDS = 1.0
 FASTER_WEIGHT = 0.15
-LEAST_RATE = 500.0
-MOST_RATE = 1_000_000.0
-# A first event that is later than estimated by this factor and this time shows a
-# server that sleeps, rather than one that is slow.
+MIN_RATE = 500.0
+MAX_RATE = 1_000_000.0
+# A first event that is overdue by this factor and this time indicates a server that
+# does not respond, rather than a slow one.
 LATE_FACTOR = 3.0
 LATE_SECONDS = 0.4
-# Events that have stopped for this long show the same: twenty usual intervals.
+# A stream without events for this long, twenty usual intervals, indicates the same.
 STALL_SECONDS = 0.5
-# How long the request that tries a silent server has for a sign, before the next one.
+# Interval between two requests that probe a silent or broken server.
 PROBE_SECONDS = 0.8
-# Failures are forgotten with this half-life: a server that failed for a moment gets
-# work again, one that goes on failing shows it by a request or two.
-FORGET_SECONDS = 3.0
+# Half-life of the failure share: a server that failed for a moment gets work again, and
+# one that keeps failing is detected after one or two requests.
+FAILURE_HALF_LIFE_SECONDS = 3.0
 # Weight of one failure; two in a row make a server the last choice.
 FAILURE_WEIGHT = 0.35
 SUCCESS_WEIGHT = 0.08
-# From this share on, four failures in a row, a server gets one request at a time: one
-# that breaks each run off at once always has free slots, and under overload even the
-# last choice is taken, so that it would swallow all that overflows. One that fails two
-# in five of its requests stays below.
+# Above this share, reached by four failures in a row, a server gets one request at a
+# time: a server that aborts each request at once always has free slots, and under
+# overload even the last choice is used, so that it would get and fail all requests that
+# do not fit elsewhere. A server that fails two in five requests stays below.
 BROKEN_SHARE = 0.8
 
 
 class Expected(typing.NamedTuple):
-    """What a request would meet at a server.
+    """Expected times of a request at a server.
 
     Attributes
     ----------
@@ -62,12 +64,12 @@
 
 
 class ServiceTimes:
-    """What is known of one server's speed and health.
+    """Learned speed and health of one server.
 
     Parameters
     ----------
     server : str
-        Its name, for logs.
+        Name of the server, for log events.
     """
 
     def __init__(self, server: str) -> None:
@@ -75,51 +77,51 @@
         self.rate = START_RATE
         self.event_seconds = START_EVENT_SECONDS
         self.base_seconds = START_BASE_SECONDS
-        self.whole_seconds = START_WHOLE_SECONDS
-        self._whole_known = False
+        self.slot_seconds = START_SLOT_SECONDS
+        self._slot_known = False
         self._rate_known = False
         self._events_known = False
         self._base_known = False
-        self._failing = 0.0
-        self._failing_at = clock.now()
+        self._failure_share = 0.0
+        self._failure_share_at = clock.now()
         self._silent_until = 0.0
         self._broken_until = 0.0
-        self._doubtful = False
+        self._is_unresponsive = False
 
     def expect(self, unread_tokens: float) -> Expected:
-        """Return what a request meets behind so many unread tokens, its own included.
+        """Return the expected times of a request.
 
         Parameters
         ----------
         unread_tokens : float
-            Prompt tokens to be read before its first event.
+            Prompt tokens to be read before its first event, its own included.
         """
         first = self.base_seconds + unread_tokens / self.rate
         return Expected(first, self.event_seconds)
 
-    def failing(self, now: float) -> float:
-        """Return the share of requests that failed of late."""
-        age = max(now - self._failing_at, 0.0)
-        return float(self._failing * 0.5 ** (age / FORGET_SECONDS))
+    def failure_share(self, now: float) -> float:
+        """Return the recent share of failed requests."""
+        age = max(now - self._failure_share_at, 0.0)
+        return float(self._failure_share * 0.5 ** (age / FAILURE_HALF_LIFE_SECONDS))
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether the server gave no sign where it should have."""
+        """Return whether the server is silent and may not be probed yet."""
         return now < self._silent_until
 
     def is_broken(self, now: float) -> bool:
-        """Tell whether the server fails nearly all it gets, and has just been tried."""
+        """Return whether the server fails nearly all requests and was just probed."""
         return now < self._broken_until
 
     def granted(self, now: float) -> None:
-        """Note that a request goes there.
+        """Record a grant, which counts as a probe of a silent or broken server.
 
-        A silent server gets one request at a time, to see whether it is back: without
-        any, one long request alone would keep a sound server out for as long as it
-        runs, and with many a dead one would swallow them all.
+        A silent server gets one request at a time as a probe. With none, a healthy
+        server would stay excluded while a single long request runs; with many, a
+        crashed server would fail them all.
         """
-        if self._doubtful:
+        if self._is_unresponsive:
             self._silent_until = now + PROBE_SECONDS
-        if self.failing(now) > BROKEN_SHARE:
+        if self.failure_share(now) > BROKEN_SHARE:
             self._broken_until = now + PROBE_SECONDS
 
     def read(self, tokens: int, alone_seconds: float, seconds: float) -> None:
@@ -128,36 +130,37 @@
         Parameters
         ----------
         tokens : int
-            Its unread prompt.
+            Uncached tokens of the prompt.
         alone_seconds : float
-            How long it was the first one that was read.
+            Time for which the prompt was at the head of the prefill queue.
         seconds : float
-            From the permit to the event.
+            Time from the permit to the first event.
         """
-        self._alive()
-        if tokens < LEAST_SAMPLE_TOKENS:
+        self._mark_responsive()
+        if tokens < MIN_RATE_SAMPLE_TOKENS:
             sample = min(alone_seconds, seconds) - tokens / self.rate
             self._learn_base(max(sample, 0.0))
             return
         spent = alone_seconds - self.base_seconds
         if spent <= 0.0:
             return
-        rate = min(max(tokens / spent, LEAST_RATE), MOST_RATE)
+        rate = min(max(tokens / spent, MIN_RATE), MAX_RATE)
         if not self._rate_known:
             self._rate_known = True
             self.rate = rate
             return
         weight = SLOWER_WEIGHT if rate < self.rate else FASTER_WEIGHT
-        # Means of the time per token: one fast sample must not hide a slow server.
+        # Harmonic mean, over the time per token: one fast sample must not hide a slow
+        # server.
         self.rate = 1.0 / ((1.0 - weight) / self.rate + weight / rate)
 
     def advanced(self, events: int, seconds: float) -> None:
-        """Learn from events of one stream in a row."""
+        """Learn from consecutive events of one stream, or from a pause without any."""
         if events <= 0:
             if seconds > STALL_SECONDS:
-                self.doubt(clock.now(), seconds)
+                self.mark_silent(clock.now(), seconds)
             return
-        self._alive()
+        self._mark_responsive()
         sample = seconds / events
         if not self._events_known:
             self._events_known = True
@@ -169,41 +172,41 @@
         )
 
     def served(self, seconds: float) -> None:
-        """Learn from a plain answer."""
-        self._alive()
+        """Learn from a complete answer of a plain service."""
+        self._mark_responsive()
         self._learn_base(seconds)
 
     def completed(self, seconds: float) -> None:
-        """Learn how long a request occupies a slot."""
-        if not self._whole_known:
-            self._whole_known = True
-            self.whole_seconds = seconds
+        """Learn from the time for which a request occupied a slot."""
+        if not self._slot_known:
+            self._slot_known = True
+            self.slot_seconds = seconds
             return
-        self.whole_seconds += WHOLE_WEIGHT * (seconds - self.whole_seconds)
-
-    def ended(self, well: bool, now: float) -> None:
-        """Learn from an end, as far as the server is answerable for it."""
-        share = self.failing(now)
-        self._failing_at = now
-        if well:
-            self._failing = share * (1.0 - SUCCESS_WEIGHT)
+        self.slot_seconds += SLOT_WEIGHT * (seconds - self.slot_seconds)
+
+    def ended(self, succeeded: bool, now: float) -> None:
+        """Update the failure share from an end that the server is responsible for."""
+        share = self.failure_share(now)
+        self._failure_share_at = now
+        if succeeded:
+            self._failure_share = share * (1.0 - SUCCESS_WEIGHT)
             return
-        self._failing = share + FAILURE_WEIGHT * (1.0 - share)
-        if self._failing > BROKEN_SHARE:
+        self._failure_share = share + FAILURE_WEIGHT * (1.0 - share)
+        if self._failure_share > BROKEN_SHARE:
             self._broken_until = now + PROBE_SECONDS
 
-    def patience(self, expected_seconds: float) -> float:
-        """Return how late a first event may be before the server counts as silent."""
+    def silence_limit(self, expected_seconds: float) -> float:
+        """Return the time without a first event after which a server is silent."""
         return expected_seconds * LATE_FACTOR + LATE_SECONDS
 
-    def doubt(self, now: float, seconds: float) -> None:
-        """Take in that the server has given no sign for so long.
+    def mark_silent(self, now: float, seconds: float) -> None:
+        """Exclude a server from new work that has not responded for ``seconds``.
 
-        New work would wait in vain there; the next sign of life ends this.
+        The next event or answer from it ends this.
         """
-        if self._doubtful:
+        if self._is_unresponsive:
             return
-        self._doubtful = True
+        self._is_unresponsive = True
         self._silent_until = now + STALL_SECONDS
         logs.event(
             "server_silent",
@@ -212,10 +215,10 @@
             base_ms=round(self.base_seconds * 1000.0, 1),
         )
 
-    def _alive(self) -> None:
-        if self._doubtful:
+    def _mark_responsive(self) -> None:
+        if self._is_unresponsive:
             logs.event("server_heard", server=self._server)
-        self._doubtful = False
+        self._is_unresponsive = False
         self._silent_until = 0.0
         self._broken_until = 0.0
 
--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -1,4 +1,8 @@
-"""One shard of a pool at its keeper: who waits, what is out, what fits."""
+"""The keeper's state of one shard of a pool: waiting demands, permits, servers.
+
+An owner is the instance that accepted a request. It sends a demand to the keeper, which
+answers with a permit to dispatch the request to a server, or sheds it.
+"""
 
 import collections.abc
 import typing
@@ -9,18 +13,19 @@
 from .. import clock, logs
 from . import loads, prefixes, priority_cutoffs, slow_start
 
-# Time for the news of a dispatch to reach the keeper after a permit's last moment.
-NEWS_SECONDS = 0.4
-# Owners repeat unanswered demands every renewal period; one not repeated for this
-# many periods is an owner's that has gone, or was read after a pause of this process.
+# Time for the report of a dispatch to reach the keeper after the permit has expired.
+DISPATCH_REPORT_SECONDS = 0.4
+# Owners repeat unanswered demands every renewal period. A demand not repeated for this
+# many periods belongs to an owner that has stopped, or was read after a pause of this
+# process.
 STALE_PERIODS = 4.0
-# How long a server that refused connections is taken for down without other news.
+# How long a server counts as down after it refused a connection.
 REFUSED_SECONDS = 2.0
 DOWN_RETRY_MS = 2000
 
 
 class Replier(typing.Protocol):
-    """Where answers to an owner go: a link, or this process itself."""
+    """Sends answers to an owner: over a link, or within this process."""
 
     instance: str
 
@@ -34,9 +39,9 @@
     Attributes
     ----------
     demand : Demand
-        As the owner sent it.
+        The demand as the owner sent it last.
     replier : Replier
-        Where the answer goes.
+        Sends the answer to the owner.
     arrived_at, deadline : float
         Seconds on this clock.
     renewed_at : float
@@ -51,7 +56,7 @@
 
 
 class Running(typing.NamedTuple):
-    """A permit given, or a dispatch that an owner reported.
+    """An outstanding permit, or a dispatch that an owner reported.
 
     Attributes
     ----------
@@ -60,19 +65,19 @@
     server : str
         Backend server.
     tokens : int
-        Tokens that it is taken to occupy.
+        Estimated tokens that it occupies on the server.
     expires_at : float
-        Seconds on this clock; renewals move it on.
+        Seconds on this clock; each renewal extends it.
     demand : Demand or None
-        What was granted; None where only an owner's renewal reported it.
+        The granted demand; None when only an owner's renewal reported the dispatch.
     dispatched : bool
-        Whether the owner has put the permit to use.
+        Whether the owner has used the permit.
     cached_tokens : int
-        Prompt tokens that the engine was taken to have in its cache.
+        Prompt tokens that the engine's cache probably held at the grant.
     produced : int
         Tokens of the answer at the last renewal.
     produced_at : float
-        When that was; seconds on this clock.
+        Time of that renewal; seconds on this clock.
     """
 
     owner: str
@@ -87,35 +92,35 @@
 
 
 class Observer(typing.Protocol):
-    """Follows the changes of a shard, so that nobody need walk through all of it."""
+    """Receives each change of a shard, which avoids scanning its whole state."""
 
     def queued(self, waiting: Waiting) -> None:
-        """Take in a demand that is new in the queue."""
+        """Handle a demand that was added to the queue."""
 
     def unqueued(self, waiting: Waiting) -> None:
-        """Take in that a demand has left the queue."""
+        """Handle a demand that was removed from the queue."""
 
     def advanced(self, server: str, tokens: int, seconds: float) -> None:
-        """Take in that one answer grew by ``tokens`` (perhaps 0) in ``seconds``."""
+        """Handle an answer that grew by ``tokens`` (possibly 0) in ``seconds``."""
 
     def started(self, running: Running, found: loads.Started) -> None:
-        """Take in that a prompt has been read."""
+        """Handle the first event after a prompt's prefill."""
 
     def stopped(self, running: Running) -> None:
-        """Take in that a permit or a dispatch has ended, however it did."""
+        """Handle the end of a permit or a dispatch, with whatever outcome."""
 
 
 class Shard:
-    """The keeper's state of one shard: soft state that owners can report again.
+    """The keeper's state of one shard: soft state, rebuilt from the owners' reports.
 
     Parameters
     ----------
     name : str
         Pool and number, as in ``tutor#0``.
     settings : Settings
-        Lives of permits and leases, limits.
+        Lifetimes of permits and leases, limits.
     cold : SlowStart, optional
-        Which servers are cold.
+        Tracks which servers are cold.
     """
 
     def __init__(
@@ -132,10 +137,11 @@
         self.closed_servers: set[str] = set()
         self.weights: dict[str, float] = {}
         self.margins: dict[int, float] = {}
-        self.may_shed: collections.abc.Callable[[int], bool] = _always
-        # Returns the shard of the pool in which a demand waits less than so many
-        # seconds, or nothing; and what demands would wait here.
-        self.find_sibling: collections.abc.Callable[[Waiting, float], str] = _nowhere
+        self.may_shed: collections.abc.Callable[[int], bool] = _may_always_shed
+        # Returns the name of another shard of the pool in which the demand would wait
+        # less than the given seconds, or an empty string.
+        self.find_sibling: collections.abc.Callable[[Waiting, float], str] = _no_sibling
+        # Returns the estimated wait in this shard of a new demand of each rank.
         self.waits: collections.abc.Callable[[], list[messages.RankWait]] = list
         self.cutoffs = priority_cutoffs.PriorityCutoffs()
         self.cold_budgets = slow_start.ColdBudgets(
@@ -144,60 +150,61 @@
         self._refused: dict[str, float] = {}
         self._loads: dict[str, loads.Load] = {}
         self._observers: list[Observer] = []
-        self._unheard: set[str] = set()
+        self._unreported_owners: set[str] = set()
         self._opens_at = 0.0
         self.close()
 
     @property
     def is_open(self) -> bool:
-        """Whether this keeper may grant yet."""
-        return not self._unheard or clock.now() >= self._opens_at
+        """Whether this keeper may grant: all owners reported, or the time is up."""
+        return not self._unreported_owners or clock.now() >= self._opens_at
 
     def close(self, owners: typing.Collection[str] | None = None) -> None:
-        """Grant nothing until the owners have reported what is outstanding.
+        """Grant nothing until the owners have reported their outstanding requests.
 
         Parameters
         ----------
         owners : collection of str, optional
-            Live instances; the shard opens early when all of them have reported.
+            Live instances; the shard opens early when all of them have reported. When
+            omitted, it opens only after the full time.
         """
         # A new keeper that granted at once would put a second load on engines that
-        # are full already: callers would see every answer come late.
-        self._unheard = {"nobody"} if owners is None else set(owners)
+        # are already full, and make every answer late.
+        self._unreported_owners = {"nobody"} if owners is None else set(owners)
         self._opens_at = clock.now() + self.settings.keeper.renew_seconds * 1.5
         self.cold_budgets.forget()
 
     @property
     def unreported_owners(self) -> set[str]:
-        """Owners that have not reported what is outstanding; empty once open."""
-        return set() if self.is_open else self._unheard
+        """Owners that have not reported their outstanding requests; empty once open."""
+        return set() if self.is_open else self._unreported_owners
 
     def observe(self, observer: Observer) -> None:
-        """Let ``observer`` follow the changes of this shard."""
+        """Report the changes of this shard to ``observer`` from now on."""
         self._observers.append(observer)
 
     def load(self, server: str) -> loads.Load:
-        """Return the running totals of a server."""
+        """Return the running totals of a server, created at the first call."""
         found = self._loads.get(server)
         if found is None:
             found = self._loads[server] = loads.Load()
         return found
 
     def add(self, demand: messages.Demand, replier: Replier) -> None:
-        """Queue a demand, or take in that its owner repeats it."""
+        """Queue a demand, or renew it when its owner repeats it."""
         now = clock.now()
         for server in demand.avoid:
             self._refused[server] = now
             self.cold_budgets.cold.suspect_restart(server)
-        if not prefixes.consistent(demand.blocks, demand.block_count):
-            # An owner of another version samples otherwise: no affinity is better
+        if not prefixes.is_consistent(demand.blocks, demand.block_count):
+            # An owner of another version samples other blocks: no affinity is better
             # than a wrong one.
             demand = demand._replace(blocks=[], block_count=0)
         running = self.running.get(demand.id)
         if running is not None:
-            # The owner asks again and so has no permit: the one sent was lost with a
-            # connection. It would wait for the permit's end otherwise.
-            left = running.expires_at - NEWS_SECONDS - now
+            # The owner repeats the demand because the permit was lost with a
+            # connection. Without another one it would wait until that permit expires.
+            left = running.expires_at - DISPATCH_REPORT_SECONDS - now
             if not running.dispatched and left > 0:
                 permit = messages.Permit(
                     demand.id, running.server, int(left * 1000), self.name
@@ -217,59 +224,64 @@
             observer.queued(waiting)
 
     def drop(self, request_id: str) -> None:
-        """Forget a demand or a permit."""
+        """Remove a demand or a permit."""
         self._unqueue(request_id)
-        self._stop(request_id)
+        self._remove_running(request_id)
 
     def drop_owner(self, link: Replier) -> None:
-        """Forget the demands that came over a closed link.
+        """Remove the demands that arrived over a link that has closed.
 
-        Permits and dispatches stay until their leases end: the owner may be alive
-        behind another link, and its engine work goes on in any case.
+        Permits and dispatches stay until their leases expire: the owner may still be
+        reachable over another link, and its requests keep running on the engines.
         """
         for request_id in list(self.queue):
             if self.queue[request_id].replier is link:
                 self._unqueue(request_id)
 
     def drop_queue(self) -> None:
-        """Forget all demands; their owners send those that still wait again."""
+        """Remove all demands; their owners resend those that are still waiting."""
         for request_id in list(self.queue):
             self._unqueue(request_id)
 
     def renew(self, owner: str, outstanding: list[messages.Outstanding]) -> None:
-        """Take an owner's dispatched requests as they are, whoever permitted them."""
+        """Replace an owner's running requests by those that its renewal lists.
+
+        Requests are accepted as listed, also when another keeper granted them.
+        """
         now = clock.now()
         lease = now + self.settings.keeper.lease_seconds
-        named = set()
+        listed_ids = set()
         for item in outstanding:
-            named.add(item.id)
+            listed_ids.add(item.id)
             self._unqueue(item.id)
             self._renew(owner, item, now, lease)
         for request_id, running in list(self.running.items()):
-            # Told of before and not any more: it has ended and the news was lost.
+            # Missing from this renewal: it has ended and its release was lost.
             if running.owner == owner and running.dispatched:
-                if request_id not in named:
-                    self._stop(request_id)
-        self._unheard.discard(owner)
+                if request_id not in listed_ids:
+                    self._remove_running(request_id)
+        self._unreported_owners.discard(owner)
 
     def progress(self, message: messages.Progress) -> None:
-        """Take in which permits were put to use and which prompts were read."""
+        """Record which permits were used and which prompts had their first event."""
         now = clock.now()
-        for step in message.steps:
-            running = self.running.get(step.id)
+        for progress_step in message.steps:
+            running = self.running.get(progress_step.id)
             if running is None:
                 continue
-            at = now - step.age_ms / 1000.0
+            at = now - progress_step.age_ms / 1000.0
             lease = now + self.settings.keeper.lease_seconds
-            self.running[step.id] = running._replace(dispatched=True, expires_at=lease)
-            if not step.started:
+            self.running[progress_step.id] = running._replace(
+                dispatched=True, expires_at=lease
+            )
+            if not progress_step.started:
                 continue
-            found = self.load(running.server).start(step.id, at)
+            found = self.load(running.server).start(progress_step.id, at)
             self._refused.pop(running.server, None)
             self.cold_budgets.cold.confirm_alive(running.server)
             if found is None:
                 continue
-            self.running[step.id] = self.running[step.id]._replace(
+            self.running[progress_step.id] = self.running[progress_step.id]._replace(
                 produced=1, produced_at=at
             )
             for observer in self._observers:
@@ -282,7 +294,7 @@
         cached_tokens: int = 0,
         expected_seconds: float = 0.0,
     ) -> None:
-        """Give a permit.
+        """Send a permit for a demand.
 
         Parameters
         ----------
@@ -291,7 +303,7 @@
         server : str
             Backend server.
         cached_tokens : int
-            Prompt tokens that its cache is taken to hold.
+            Prompt tokens that its cache probably holds.
         expected_seconds : float
             Estimated time to the first event.
         """
@@ -299,10 +311,10 @@
         self._unqueue(demand.id)
         now = clock.now()
         keeper = self.settings.keeper
-        # Nobody renews a permit that is not in use; without news of a dispatch the
-        # capacity comes back right after the permit's end.
+        # An unused permit is never renewed: unless a dispatch is reported, the capacity
+        # is released shortly after the permit expires.
         permit_ms = self.cold_budgets.granted(server, keeper.permit_ms)
-        expires_at = now + permit_ms / 1000.0 + NEWS_SECONDS
+        expires_at = now + permit_ms / 1000.0 + DISPATCH_REPORT_SECONDS
         tokens = demand.prompt_tokens + demand.output_tokens
         running = Running(
             waiting.replier.instance,
@@ -312,7 +324,7 @@
             demand,
             cached_tokens=cached_tokens,
         )
-        self._begin(demand.id, running)
+        self._add_running(demand.id, running)
         uncached = max(demand.prompt_tokens - cached_tokens, 0)
         self.load(server).begin(demand.id, uncached, now, expected_seconds)
         logs.detail("granted", id=demand.id, shard=self.name, rank=demand.rank)
@@ -320,7 +332,7 @@
         waiting.replier.send(permit)
 
     def shed(self, waiting: Waiting, code: str, retry_after_ms: int) -> None:
-        """Give a demand up; the owner refuses it at once."""
+        """Remove a demand and tell its owner to refuse it at once."""
         self._unqueue(waiting.demand.id)
         logs.event(
             "shed",
@@ -333,7 +345,7 @@
         waiting.replier.send(messages.Shed(waiting.demand.id, code, retry_after_ms))
 
     def move(self, waiting: Waiting, limit: float) -> bool:
-        """Send a demand to a shard where it waits less; False when there is none."""
+        """Redirect a demand to a shard where it waits less; False if there is none."""
         target = self.find_sibling(waiting, limit)
         if not target:
             return False
@@ -351,30 +363,35 @@
         return True
 
     def expire(self) -> None:
-        """Drop leases that nobody renewed, and demands that nobody repeats."""
+        """Remove leases that were not renewed and demands that were not repeated."""
         now = clock.now()
         for request_id in list(self.running):
             if self.running[request_id].expires_at < now:
-                self._stop(request_id)
+                self._remove_running(request_id)
         horizon = now - self.settings.keeper.renew_seconds * STALE_PERIODS
         for request_id in list(self.queue):
             if self.queue[request_id].renewed_at < horizon:
                 self._unqueue(request_id)
 
     def health(self) -> tuple[int, int]:
-        """Return the rank from which on requests are refused, and when to ask again.
+        """Return the rank from which on requests are refused, and Retry-After in ms.
 
-        The rank is -1 when all get through, 0 when no server can be reached.
+        The rank is -1 when no rank is refused, 0 when no server can be reached.
         """
-        up = [item for item in self.open_servers() if not self.is_refusing(item.name)]
-        if not up:
+        reachable = [
+            item for item in self.open_servers() if not self.is_refusing(item.name)
+        ]
+        if not reachable:
             return 0, DOWN_RETRY_MS
         return self.cutoffs.floor
 
     def is_refusing(self, server: str) -> bool:
-        """Tell whether a server refused a connection and has done nothing since."""
-        since = clock.now() - self._refused.get(server, float("-inf"))
-        return since < REFUSED_SECONDS
+        """Return whether a server has recently refused a connection.
+
+        A first event from the server ends this early.
+        """
+        age = clock.now() - self._refused.get(server, float("-inf"))
+        return age < REFUSED_SECONDS
 
     def open_servers(self) -> list[fleet.Server]:
         """Return the servers that may get new work."""
@@ -397,16 +414,18 @@
     ) -> None:
         known = self.running.get(item.id)
         if known is not None and known.server != item.server:
-            self._stop(item.id)
+            self._remove_running(item.id)
             known = None
         if known is None:
             tokens = item.prompt_tokens + item.output_tokens
             known = Running(owner, item.server, tokens, lease, produced_at=now)
-            self._begin(item.id, known)
+            self._add_running(item.id, known)
         known = known._replace(owner=owner, expires_at=lease, dispatched=True)
-        self.running[item.id] = self._grow(item, known, now)
+        self.running[item.id] = self._record_progress(item, known, now)
 
-    def _grow(self, item: messages.Outstanding, known: Running, now: float) -> Running:
+    def _record_progress(
+        self, item: messages.Outstanding, known: Running, now: float
+    ) -> Running:
         if not item.produced:
             return known
         found = self.load(known.server).start(item.id, now)
@@ -428,13 +447,13 @@
         for observer in self._observers:
             observer.unqueued(waiting)
 
-    def _begin(self, request_id: str, running: Running) -> None:
+    def _add_running(self, request_id: str, running: Running) -> None:
         self.running[request_id] = running
         load = self.load(running.server)
         load.count += 1
         load.tokens += running.tokens
 
-    def _stop(self, request_id: str) -> None:
+    def _remove_running(self, request_id: str) -> None:
         running = self.running.pop(request_id, None)
         if running is None:
             return
@@ -446,11 +465,11 @@
             observer.stopped(running)
 
 
-def _nowhere(waiting: Waiting, limit: float) -> str:
-    """Return nothing: there is no other shard."""
+def _no_sibling(waiting: Waiting, limit: float) -> str:
+    """Return an empty string: there is no other shard."""
     return ""
 
 
-def _always(rank: int) -> bool:
-    """Shed any rank: the pool has one shard."""
+def _may_always_shed(rank: int) -> bool:
+    """Allow shedding of any rank: the pool has one shard."""
     return True
--- a/packages/daemon/cassiaquay_daemon/decisions/speeds.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/speeds.py
@@ -1,10 +1,10 @@
-"""How fast each engine is: learned from its own work, never from its reports.
+"""Speed of each engine, learned from the requests it served, never from its reports.
 
-Which estimate each decision uses:
+Estimates by decision:
 
 - placement, waiting for an engine, feasibility: `prefill_rate`, `token_seconds`;
 - keeping an engine's queue short: `prefill_rate` (backlog in seconds) and `limit`;
-- shedding and retry-after: the shard's measured drain (`shedding.py`).
+- shedding and Retry-After: the shard's measured drain rate (`shedding.py`).
 """
 
 import math
@@ -12,44 +12,46 @@
 
 START_PREFILL_RATE = 10_000.0
 START_TOKEN_SECONDS = 0.02
-LEAST_PREFILL_RATE = 10.0
-# Prompts below this say more about the step time than about the prefill rate.
-LEAST_SAMPLE_TOKENS = 256
+MIN_PREFILL_RATE = 10.0
+# The time of shorter prompts is dominated by the duration of one engine step.
+MIN_SAMPLE_TOKENS = 256
 RATE_WEIGHT = 0.3
-# Slower is believed sooner than faster: the time per token jumps fivefold while an
-# engine reads a long prompt, and an answer begun on the hope that it does not is late.
+# A slower sample must not get less weight than a faster one: the time per token rises
+# fivefold while an engine reads a long prompt, and an answer that was started on the
+# assumption that it does not is late.
 SLOWER_WEIGHT = 0.3
 FASTER_WEIGHT = 0.3
 CALL_WEIGHT = 0.1
-# A first event later than this many times the estimate, and later by the slack,
-# shows a queue inside the engine.
+# A first event that exceeds this multiple of the estimate plus the slack indicates a
+# queue inside the engine.
 LATE_FACTOR = 2.0
 LATE_SLACK_SECONDS = 0.3
-DECREASE = 0.8
+DECREASE_FACTOR = 0.8
 DECREASE_PAUSE_SECONDS = 1.0
 INCREASE_TOKENS = 256.0
-# An estimate without news halves in this time: an engine that was once taken for too
-# slow for anything would otherwise never get the request that shows it has recovered.
-FORGET_SECONDS = 2.0
+# Half-life of the estimated times of an idle engine. Otherwise an engine whose estimate
+# is too slow for any demand would never get a request that shows its recovery.
+IDLE_HALF_LIFE_SECONDS = 2.0
 FRESH_SECONDS = 1.0
-LEAST_TOKEN_SECONDS = 0.001
-MOST_PREFILL_RATE = 100_000.0
+MIN_TOKEN_SECONDS = 0.001
+MAX_PREFILL_RATE = 100_000.0
 STALL_SECONDS = 0.5
-# The floor is the shortest time per token of late; each sample lets it rise by this.
-FLOOR_RISE = 1.01
+# The floor is the shortest recent time per token; it may rise by this factor with each
+# sample.
+FLOOR_RISE_FACTOR = 1.01
 
 
 class Estimate(typing.NamedTuple):
-    """What one engine is reckoned to do.
+    """Estimated speed of one engine.
 
     Attributes
     ----------
     prefill_rate : float
-        Prompt tokens a second.
+        Prompt tokens per second.
     token_seconds : float
-        From one token of an answer to the next, under the load of late.
+        Time from one token of an answer to the next, under the recent load.
     floor_seconds : float
-        The same, at the best of late.
+        Shortest recent time from one token of an answer to the next.
     """
 
     prefill_rate: float
@@ -58,77 +60,77 @@
 
 
 class Speed:
-    """What is known of one engine's speed.
+    """Learned speed of one engine and its limit of tokens in flight.
 
     Parameters
     ----------
     start_tokens : int
-        Limit of tokens in flight to begin with.
-    most_tokens : int or None
+        Initial limit of tokens in flight.
+    max_tokens : int or None
         Upper bound of the learned limit, from the fleet text.
     """
 
-    def __init__(self, start_tokens: int, most_tokens: int | None):
+    def __init__(self, start_tokens: int, max_tokens: int | None):
         self.prefill_rate = START_PREFILL_RATE
         self.token_seconds = START_TOKEN_SECONDS
-        self.limit = float(min(start_tokens, most_tokens or start_tokens))
-        self._most = float(most_tokens) if most_tokens else None
+        self.limit = float(min(start_tokens, max_tokens or start_tokens))
+        self._max_tokens = float(max_tokens) if max_tokens else None
         self._rate_known = False
         self._tokens_known = False
         self._floor = START_TOKEN_SECONDS
-        self._heard_at = float("-inf")
-        self._slow_start = True
+        self._sampled_at = float("-inf")
+        self._is_growing_fast = True
         self._decreased_at = float("-inf")
 
     def estimate(self, now: float, idle: bool) -> "Estimate":
-        """Return what to reckon with now.
+        """Return the current estimate.
 
         Parameters
         ----------
         now : float
             Seconds on this clock.
         idle : bool
-            Whether nothing is out on the engine, so that no news can come.
+            Whether the engine has no request in flight, so that no sample can arrive.
         """
         rate, token, floor = self.prefill_rate, self.token_seconds, self._floor
-        age = now - self._heard_at - FRESH_SECONDS
+        age = now - self._sampled_at - FRESH_SECONDS
         if not idle or age <= 0.0 or not math.isfinite(age):
             return Estimate(rate, token, min(floor, token))
-        factor = 2.0 ** min(age / FORGET_SECONDS, 16.0)
-        rate = max(rate, min(rate * factor, MOST_PREFILL_RATE))
-        token = min(token, max(token / factor, LEAST_TOKEN_SECONDS))
+        factor = 2.0 ** min(age / IDLE_HALF_LIFE_SECONDS, 16.0)
+        rate = max(rate, min(rate * factor, MAX_PREFILL_RATE))
+        token = min(token, max(token / factor, MIN_TOKEN_SECONDS))
         floor = min(floor, token)
         return Estimate(rate, token, floor)
 
-    def heard(self, now: float) -> None:
-        """Note that the engine gave news of its speed."""
-        self._heard_at = now
+    def record_sample_time(self, now: float) -> None:
+        """Record the time of the latest sample of the engine's speed."""
+        self._sampled_at = now
 
     def prefilled(self, tokens: int, seconds: float) -> None:
-        """Learn from a prompt read alone: its uncached tokens and how long it took."""
-        if tokens < LEAST_SAMPLE_TOKENS or seconds <= 0.0:
+        """Learn from a prefill's uncached tokens and its time at the queue's head."""
+        if tokens < MIN_SAMPLE_TOKENS or seconds <= 0.0:
             return
-        rate = max(tokens / seconds, LEAST_PREFILL_RATE)
+        rate = max(tokens / seconds, MIN_PREFILL_RATE)
         if not self._rate_known:
             self._rate_known = True
             self.prefill_rate = rate
             return
-        # Means of the time per token, not of the rate: one fast sample must not hide
+        # Mean of the time per token, not of the rate: one fast sample must not hide
         # that the engine has become slow.
         mean = (1 - RATE_WEIGHT) / self.prefill_rate + RATE_WEIGHT / rate
         self.prefill_rate = 1.0 / mean
 
-    def overdue(self, tokens: int, seconds: float) -> None:
-        """Learn from a prompt that is not read yet after ``seconds``."""
-        # An engine that slows down sends no completions to learn from just then; the
-        # age of what it has not done bounds its speed from above.
-        if tokens < LEAST_SAMPLE_TOKENS or seconds <= LATE_SLACK_SECONDS:
+    def learn_unfinished(self, tokens: int, seconds: float) -> None:
+        """Learn from a prefill that is still unfinished after ``seconds``."""
+        # An engine that slows down sends no first events to learn from meanwhile; the
+        # age of an unfinished prefill is an upper bound of the rate.
+        if tokens < MIN_SAMPLE_TOKENS or seconds <= LATE_SLACK_SECONDS:
             return
-        bound = max(tokens / seconds, LEAST_PREFILL_RATE)
+        bound = max(tokens / seconds, MIN_PREFILL_RATE)
         self.prefill_rate = min(self.prefill_rate, bound)
 
     def generated(self, tokens: int, seconds: float) -> None:
-        """Learn from tokens that one stream got in a row, and how long that took."""
+        """Learn from ``tokens`` consecutive tokens of one stream."""
         if tokens < 1 or seconds <= 0.0:
             return
         sample = seconds / tokens
@@ -140,26 +142,28 @@
         weight *= min(tokens / 8.0, 1.0)
         self.token_seconds += weight * (sample - self.token_seconds)
         if tokens >= 4:
-            self._floor = min(self._floor * FLOOR_RISE, sample)
+            self._floor = min(self._floor * FLOOR_RISE_FACTOR, sample)
 
     def served(self, seconds: float) -> None:
-        """Learn from a call of a plain service, whose answer is one unit of output."""
+        """Learn from a call of a plain service, whose answer counts as one token."""
         if not self._tokens_known:
             self._tokens_known = True
             self.token_seconds = self._floor = seconds
             return
         self.token_seconds += CALL_WEIGHT * (seconds - self.token_seconds)
-        self._floor = min(self._floor * FLOOR_RISE, seconds)
+        self._floor = min(self._floor * FLOOR_RISE_FACTOR, seconds)
 
     def stalled(self, seconds: float) -> None:
-        """Learn from a stream that has got no token for ``seconds``."""
+        """Learn from a stream that has received no token for ``seconds``."""
         if seconds > STALL_SECONDS:
             self.token_seconds = max(self.token_seconds, seconds)
 
     def started(
         self, expected: float, seconds: float, in_flight: int, now: float
     ) -> None:
-        """Move the limit of tokens in flight: additive up, multiplicative down.
+        """Adjust the limit of tokens in flight by AIMD, at each first event.
+
+        Additive increase, multiplicative decrease.
 
         Parameters
         ----------
@@ -171,8 +175,8 @@
             Seconds on this clock.
         """
         if in_flight * 2 <= self.limit or not self._rate_known:
-            # Far below the limit, or estimated without any figure of this engine:
-            # being late says nothing of the limit.
+            # In flight far below the limit, or estimated before any sample of this
+            # engine: lateness is not evidence about the limit.
             return
         if seconds > expected * LATE_FACTOR + LATE_SLACK_SECONDS:
             self._decrease(in_flight, now)
@@ -180,17 +184,18 @@
             self._increase()
 
     def _increase(self) -> None:
-        # Doubling until the first decrease: a large engine is found within seconds.
-        step = self.limit / 16 if self._slow_start else INCREASE_TOKENS
+        # Exponential growth until the first decrease, so that the limit reaches the
+        # capacity of a large engine within seconds.
+        step = self.limit / 16 if self._is_growing_fast else INCREASE_TOKENS
         self.limit += step
-        if self._most is not None:
-            self.limit = min(self.limit, self._most)
+        if self._max_tokens is not None:
+            self.limit = min(self.limit, self._max_tokens)
 
     def _decrease(self, in_flight: int, now: float) -> None:
-        # Once for each second: what was granted before the first decrease goes on
-        # being late and says nothing new.
+        # At most once a second: requests that were granted before a decrease are still
+        # late after it.
         if now - self._decreased_at < DECREASE_PAUSE_SECONDS:
             return
         self._decreased_at = now
-        self._slow_start = False
-        self.limit = max(min(self.limit, in_flight) * DECREASE, 1.0)
+        self._is_growing_fast = False
+        self.limit = max(min(self.limit, in_flight) * DECREASE_FACTOR, 1.0)
--- a/packages/daemon/cassiaquay_daemon/decisions/team_order.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/team_order.py
@@ -1,7 +1,7 @@
-"""The order of service: strict ranks, and in a rank one demand of each team in turn.
+"""The order of service: strict ranks; within a rank, teams take turns by demand.
 
-Load pattern: one team floods a tier. The team that had least goes first, and each gives
-one demand in turn, so that the flood stands behind the few demands of the others.
+Load pattern: one team floods a tier. The team that has received the least goes first,
+and the teams take turns, so that the flood queues behind the few demands of the others.
 Within a team the order is that of arrival, not shortest first: long requests must be
 served about as often as short ones.
 """
@@ -17,7 +17,7 @@
     """Waiting demands of one team in one rank, in order of arrival."""
 
     def __init__(self) -> None:
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.ids: dict[str, None] = {}
 
 
@@ -28,14 +28,14 @@
         self._ranks: dict[int, dict[str, _Team]] = {}
 
     def add(self, demand: messages.Demand) -> None:
-        """Add a demand; a team that was idle gets no credit for that."""
+        """Add a demand; its team gets no credit for time without demands."""
         teams = self._ranks.setdefault(demand.rank, {})
         team = teams.get(demand.team)
         if team is None:
             team = teams[demand.team] = _Team()
         if not team.ids:
-            active = [item.virtual for item in teams.values() if item.ids]
-            team.virtual = queues.virtual_of_newcomer(team.virtual, active)
+            active = [item.virtual_time for item in teams.values() if item.ids]
+            team.virtual_time = queues.initial_virtual_time(team.virtual_time, active)
         team.ids[demand.id] = None
 
     def remove(self, demand: messages.Demand) -> None:
@@ -43,27 +43,30 @@
         self._ranks[demand.rank][demand.team].ids.pop(demand.id, None)
 
     def charge(self, demand: messages.Demand, weight: float) -> None:
-        """Count a granted demand against its team."""
+        """Add a granted demand's work to its team's virtual time."""
         work = demand.prompt_tokens + demand.output_tokens + 1
-        self._ranks[demand.rank][demand.team].virtual += work / weight
+        self._ranks[demand.rank][demand.team].virtual_time += work / weight
 
     def ranks(self) -> list[int]:
         """Return all ranks, the most important first."""
         return sorted(self._ranks)
 
     def count(self, rank: int) -> int:
-        """Return how many demands of a rank wait."""
+        """Return the number of waiting demands of a rank."""
         return sum(len(team.ids) for team in self._ranks[rank].values())
 
-    def arrived(self, rank: int) -> collections.abc.Iterator[str]:
-        """Yield the demands of a rank, team by team; they may leave meanwhile."""
+    def waiting_ids(self, rank: int) -> collections.abc.Iterator[str]:
+        """Yield the demands of a rank, team by team.
+
+        Demands may be removed during the iteration.
+        """
         for team in self._ranks[rank].values():
             yield from list(team.ids)
 
     def order(self, rank: int) -> list[str]:
-        """Return the demands of a rank as they are served."""
+        """Return the demands of a rank in the order of service."""
         teams = [team for team in self._ranks[rank].values() if team.ids]
-        teams.sort(key=_virtual)
+        teams.sort(key=_virtual_time)
         rows = [list(team.ids) for team in teams]
         found: list[str] = []
         depth = 0
@@ -75,5 +78,5 @@
         return found
 
 
-def _virtual(team: _Team) -> float:
-    return team.virtual
+def _virtual_time(team: _Team) -> float:
+    return team.virtual_time
--- a/packages/daemon/cassiaquay_daemon/decisions/tiered.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/tiered.py
@@ -1,4 +1,4 @@
-"""The policy: strict tiers, fair teams, and the engine that is done first."""
+"""Scheduling policy with strict tiers, fair teams and earliest-finish placement."""
 
 import heapq
 
@@ -8,16 +8,18 @@
 from . import loads, placement, policies, queues, shards, shedding
 
 NAME = "tiered"
-# Demands of one team looked at in one pass: those behind may fit where the first do
-# not, but a pass must stay short however long the queue is.
-LOOK_AHEAD = 12
-MOST_WEIGHED = 64
+# Demands of one team weighed in one pass: later demands may fit where the first do not,
+# but the duration of a pass must not grow with the queue.
+LOOK_AHEAD_DEMANDS = 12
+MAX_WEIGHED_DEMANDS = 64
 # After a tier was shed for overload, no tier below it gets a grant for this long.
 FLOOR_SECONDS = 0.5
-# The other shards of the pool are asked to hold back so long before a shed.
+# The other shards of the pool are asked to hold back lower tiers this long before a
+# shed.
 NOTICE_SECONDS = 0.05
-# With more than so many waiting, prefill is dear: it is taken from somebody.
-PRESSURE_QUEUE = 8
+# With more demands than this in the queue, engine time spent on prefill delays others
+# and gets the higher weight.
+PRESSURE_QUEUE_LENGTH = 8
 PRESSURE = 20.0
 IDLE_PRESSURE = 1.0
 
@@ -29,7 +31,7 @@
     Parameters
     ----------
     shard : Shard
-        Whose demands are served.
+        The shard whose demands this policy grants and sheds.
     """
 
     def __init__(self, shard: shards.Shard):
@@ -37,27 +39,27 @@
         self._queues = queues.TierQueues(shard, self._measure)
         self._drain = shedding.Drain()
         self._engines: dict[str, placement.Engine] = {}
-        self._latest: list[tuple[float, str]] = []
-        self._new: list[str] = []
-        self._views: list[placement.View] = []
-        self._unread: set[str] = set()
+        self._latest_starts: list[tuple[float, str]] = []
+        self._new_ids: list[str] = []
+        self._last_views: list[placement.View] = []
+        self._unread_ids: set[str] = set()
         self._sessions: dict[str, dict[str, None]] = {}
-        self._weighed = 0
-        self._passed: set[str] = set()
+        self._weighed_count = 0
+        self._unplaced_ids: set[str] = set()
         shard.observe(self)
 
     # Called by the shard.
 
     def queued(self, waiting: shards.Waiting) -> None:
-        """Take in a new demand."""
+        """Add a new demand."""
         demand = waiting.demand
-        self._new.append(demand.id)
+        self._new_ids.append(demand.id)
         self._queues.add(waiting)
         if demand.session:
             self._sessions.setdefault(demand.session, {})[demand.id] = None
 
     def unqueued(self, waiting: shards.Waiting) -> None:
-        """Take in that a demand has left."""
+        """Remove a demand that has left the queue."""
         self._queues.remove(waiting)
         demand = waiting.demand
         for engine in self._engines.values():
@@ -69,26 +71,26 @@
                 del self._sessions[demand.session]
 
     def advanced(self, server: str, tokens: int, seconds: float) -> None:
-        """Learn the time per token while an answer grows."""
+        """Update the time per token from a growing answer."""
         engine = self._engines.get(server)
         if engine is None:
             return
         if tokens > 0:
-            engine.speed.heard(clock.now())
+            engine.speed.record_sample_time(clock.now())
             engine.speed.generated(tokens, seconds)
         else:
             engine.speed.stalled(seconds)
 
     def started(self, running: shards.Running, found: loads.Started) -> None:
-        """Learn the speed of prefill and move the limit of tokens in flight."""
+        """Update the prefill rate and the limit of tokens in flight."""
         engine = self._engines.get(running.server)
         if engine is None:
             return
         if running.demand is not None:
-            self._unread.discard(running.demand.id)
-            engine.index.arrive(running.demand.blocks)
-        engine.speed.heard(clock.now())
-        # The first event comes one step after the prompt has been read.
+            self._unread_ids.discard(running.demand.id)
+            engine.index.finish_prefill(running.demand.blocks)
+        engine.speed.record_sample_time(clock.now())
+        # The first event follows one engine step after the prefill.
         step = min(engine.speed.token_seconds, found.alone_seconds / 2)
         engine.speed.prefilled(found.tokens, found.alone_seconds - step)
         in_flight = self._shard.tokens_on(running.server)
@@ -97,19 +99,19 @@
         )
 
     def stopped(self, running: shards.Running) -> None:
-        """Forget a prompt that ended before it was read."""
+        """Cancel the pending blocks of a prompt whose prefill did not finish."""
         demand = running.demand
-        if demand is None or demand.id not in self._unread:
+        if demand is None or demand.id not in self._unread_ids:
             return
-        self._unread.discard(demand.id)
+        self._unread_ids.discard(demand.id)
         engine = self._engines.get(running.server)
         if engine is not None:
-            engine.index.cancel(demand.blocks)
+            engine.index.cancel_prefill(demand.blocks)
 
-    # What engines report.
+    # Called with the reports of engines.
 
     def cache_changed(self, server: str, stored: bool, blocks: list[int]) -> None:
-        """Take in that an engine has stored or dropped blocks a while ago."""
+        """Handle an engine's delayed report of stored or evicted blocks."""
         engine = self._engines.get(server)
         if engine is None:
             return
@@ -119,24 +121,24 @@
             engine.index.remove(blocks)
 
     def cache_lost(self, server: str) -> None:
-        """Take in that an engine's cache is empty."""
+        """Handle an engine's report that its cache is empty."""
         engine = self._engines.get(server)
         if engine is not None:
             engine.index.clear()
 
-    # What the keeper calls.
+    # Called by the keeper.
 
     def learn(self, release: messages.Release) -> None:
-        """Take in the figures of a request that has ended."""
+        """Learn from the measured times and tokens of a request that has ended."""
         engine = self._engines.get(release.server)
         if engine is None or release.outcome != "completed":
             return
         if release.output_tokens > 1:
             seconds = (release.total_ms - release.first_ms) / 1000.0
-            engine.speed.heard(clock.now())
+            engine.speed.record_sample_time(clock.now())
             engine.speed.generated(release.output_tokens - 1, seconds)
         elif not release.prompt_tokens:
-            engine.speed.heard(clock.now())
+            engine.speed.record_sample_time(clock.now())
             engine.speed.served(release.total_ms / 1000.0)
         running = self._shard.running.get(release.id)
         if running is None or running.demand is None or not running.demand.blocks:
@@ -146,32 +148,32 @@
         )
 
     def serve(self) -> None:
-        """Shed what cannot be in time, then grant tier after tier."""
+        """Shed demands that cannot be in time, then grant tier by tier."""
         now = clock.now()
         self._update(now)
-        views = self._views = self._look(now)
-        self._admit(views, now)
-        self._give_up(views, now)
-        self._bound()
-        self._weighed = 0
-        self._passed.clear()
+        views = self._last_views = self._view_engines(now)
+        self._shed_infeasible(views, now)
+        self._shed_expired(views, now)
+        self._trim_queue()
+        self._weighed_count = 0
+        self._unplaced_ids.clear()
         for rank in self._queues.ranks():
-            if self._shard.cutoffs.holds(rank):
+            if self._shard.cutoffs.is_held_back(rank):
                 break
             self._serve_tier(rank, views)
             full = all(view.is_full for view in views)
-            if full or self._weighed >= MOST_WEIGHED:
+            if full or self._weighed_count >= MAX_WEIGHED_DEMANDS:
                 break
-        # Somebody waits and nothing is free: only then grants show the capacity.
+        # Grants measure the capacity only while demands wait and all engines are full.
         full = all(view.is_full for view in views)
-        self._drain.note(full and len(self._queues) > 0)
+        self._drain.set_saturated(full and len(self._queues) > 0)
 
     def explain(self, demand: messages.Demand) -> list[policies.ServerEstimate]:
-        """Return what each open server would mean for a demand, for operators."""
+        """Return each open server's estimate for a demand, for operators."""
         now = clock.now()
         self._update(now)
         found = []
-        for view in self._look(now):
+        for view in self._view_engines(now):
             choice = placement.choose(demand, view)
             found.append(
                 policies.ServerEstimate(
@@ -192,71 +194,73 @@
             if engine is None or engine.server != server:
                 self._engines[name] = placement.Engine(server, start_tokens)
                 continue
-            tokens, seconds = self._shard.load(name).overdue(now)
-            engine.speed.overdue(tokens, seconds)
+            tokens, seconds = self._shard.load(name).current_prefill(now)
+            engine.speed.learn_unfinished(tokens, seconds)
         for name in list(self._engines):
             if name not in self._shard.servers:
                 del self._engines[name]
 
-    def _look(self, now: float) -> list[placement.View]:
+    def _view_engines(self, now: float) -> list[placement.View]:
         found = []
         servers = self._shard.open_servers()
-        # One that refuses connections would get every request that looks for an empty
-        # engine; when all refuse, trying is all that is left.
-        up = [item for item in servers if not self._shard.is_refusing(item.name)]
-        for server in up or servers:
+        # A server that refuses connections is idle and would be preferred for every
+        # request. When all servers refuse, any of them may be tried.
+        reachable = [item for item in servers if not self._shard.is_refusing(item.name)]
+        for server in reachable or servers:
             engine = self._engines[server.name]
             found.append(placement.View(engine, self._shard, now))
         return found
 
-    def _admit(self, views: list[placement.View], now: float) -> None:
-        """Look at new demands once, and shed those that cannot be in time."""
-        fresh, self._new = self._new, []
-        for request_id in fresh:
+    def _shed_infeasible(self, views: list[placement.View], now: float) -> None:
+        """Check new demands once, and shed those that cannot be in time."""
+        new_ids, self._new_ids = self._new_ids, []
+        for request_id in new_ids:
             waiting = self._shard.queue.get(request_id)
             if waiting is None:
                 continue
             options = placement.weigh(waiting.demand, waiting.deadline, views)
-            latest = waiting.deadline - options.least_seconds
-            if views and latest < now:
-                # Not even an idle engine could; asking again would not help.
+            latest_start = waiting.deadline - options.min_finish_seconds
+            if views and latest_start < now:
+                # Late even on an idle engine: a retry would not help.
                 self._shard.shed(waiting, "deadline_infeasible", 0)
                 continue
-            heapq.heappush(self._latest, (min(latest, waiting.deadline), request_id))
+            heapq.heappush(
+                self._latest_starts, (min(latest_start, waiting.deadline), request_id)
+            )
 
-    def _give_up(self, views: list[placement.View], now: float) -> None:
-        """Shed those whose last moment has passed."""
-        early: list[tuple[float, str]] = []
-        while self._latest and self._latest[0][0] <= now + NOTICE_SECONDS:
-            moment, request_id = heapq.heappop(self._latest)
+    def _shed_expired(self, views: list[placement.View], now: float) -> None:
+        """Shed the demands whose latest start has passed."""
+        not_yet: list[tuple[float, str]] = []
+        while self._latest_starts and self._latest_starts[0][0] <= now + NOTICE_SECONDS:
+            start_by, request_id = heapq.heappop(self._latest_starts)
             waiting = self._shard.queue.get(request_id)
             if waiting is None:
                 continue
-            # Asked a moment before, the other shards hold lower tiers back in time.
+            # Asks the other shards to hold lower tiers back, `NOTICE_SECONDS` early.
             may_shed = self._shard.may_shed(waiting.demand.rank)
-            if moment > now or not may_shed:
-                early.append((moment, request_id))
+            if start_by > now or not may_shed:
+                not_yet.append((start_by, request_id))
                 continue
             options = placement.weigh(waiting.demand, waiting.deadline, views)
-            latest = waiting.deadline - options.least_seconds
-            if latest > now and now < waiting.deadline:
-                heapq.heappush(self._latest, (latest, request_id))
+            latest_start = waiting.deadline - options.min_finish_seconds
+            if latest_start > now and now < waiting.deadline:
+                heapq.heappush(self._latest_starts, (latest_start, request_id))
                 continue
             before = self._queues.work_before(waiting.demand.id)
             wait = self._drain.wait_seconds(waiting.demand.rank, before)
             self._shard.shed(
                 waiting, "deadline_infeasible", self._drain.retry_after_ms(wait)
             )
-        for item in early:
-            heapq.heappush(self._latest, item)
+        for item in not_yet:
+            heapq.heappush(self._latest_starts, item)
 
-    def _bound(self) -> None:
+    def _trim_queue(self) -> None:
         limit = self._shard.settings.keeper.max_queue
         while len(self._queues) > limit:
             waiting = self._shard.queue[self._queues.last()]
             if not self._shard.may_shed(waiting.demand.rank):
                 # The other shards of the pool are being asked to hold lower tiers
-                # back; the queue is longer than it should be until they answer.
+                # back; the queue exceeds its limit until they answer.
                 return
             before = self._queues.work_before(waiting.demand.id)
             wait = self._drain.wait_seconds(waiting.demand.rank, before)
@@ -265,17 +269,17 @@
     def _shed_overload(
         self, waiting: shards.Waiting, seconds: float, now: float
     ) -> None:
-        # Whoever sees this tier shed must not see a lower one served meanwhile.
+        # The floor comes first: no lower tier may be served while this one is shed.
         rank = waiting.demand.rank
         retry_after_ms = self._drain.retry_after_ms(seconds)
         self._shard.cutoffs.raise_floor(rank, now + FLOOR_SECONDS, retry_after_ms)
         self._shard.shed(waiting, "shed_overload", retry_after_ms)
 
     def _serve_tier(self, rank: int, views: list[placement.View]) -> None:
-        """Grant what fits, and hold the engines that those who wait could use."""
+        """Grant demands that fit; reserve the engines that the others could use."""
         reserved: set[str] = set()
         teams = self._queues.teams(rank)
-        while teams and self._weighed < MOST_WEIGHED:
+        while teams and self._weighed_count < MAX_WEIGHED_DEMANDS:
             if all(view.is_full for view in views):
                 return
             team = teams[0]
@@ -283,11 +287,11 @@
                 teams = [name for name in self._queues.teams(rank) if name in teams]
             else:
                 teams.remove(team)
-        # An engine that a waiting demand of this tier could use is held for it: what
-        # a lower tier gets elsewhere cannot delay this one.
+        # An engine that a waiting demand of this tier could use is reserved for it.
+        # Grants of lower tiers on other engines cannot delay that demand.
         for view in views:
             if view.name in reserved:
-                view.held = True
+                view.is_reserved = True
 
     def _serve_team(
         self,
@@ -297,16 +301,16 @@
         reserved: set[str],
     ) -> bool:
         """Grant the first of a team's demands that fits; return whether one did."""
-        for looked, request_id in enumerate(self._queues.ids(rank, team)):
-            if looked >= LOOK_AHEAD:
-                # Those not looked at may be able to use any engine.
+        for number, request_id in enumerate(self._queues.ids(rank, team)):
+            if number >= LOOK_AHEAD_DEMANDS:
+                # The demands not weighed may be able to use any engine.
                 reserved.update(view.name for view in views)
                 return False
-            # Engines only fill up during a pass: what could not be placed a moment ago
-            # cannot be now, and what was promised once is not promised again.
-            if request_id in self._passed:
+            # Engines only fill up during a pass: a demand that could not be placed
+            # earlier in it still cannot, and must not be counted as awaiting twice.
+            if request_id in self._unplaced_ids:
                 continue
-            self._weighed += 1
+            self._weighed_count += 1
             waiting = self._shard.queue[request_id]
             margin = self._shard.margins.get(rank, placement.MARGIN_FACTOR)
             options = placement.weigh(
@@ -315,33 +319,33 @@
             if options.best is not None:
                 self._grant(waiting, options.best)
                 return True
-            self._passed.add(request_id)
+            self._unplaced_ids.add(request_id)
             if options.awaited is None:
                 reserved.update(options.usable)
                 continue
-            # It was offered a free engine and ends sooner by waiting for another one,
-            # so only that one is held for it.
-            options.awaited.view.promise(options.awaited)
+            # A free engine could take it, but it ends sooner by waiting for another
+            # one, so only that one is reserved for it.
+            options.awaited.view.add_awaiting(options.awaited)
             reserved.add(options.awaited.view.name)
         return False
 
     def _pressure(self) -> float:
-        return PRESSURE if len(self._queues) > PRESSURE_QUEUE else IDLE_PRESSURE
+        return PRESSURE if len(self._queues) > PRESSURE_QUEUE_LENGTH else IDLE_PRESSURE
 
     def _grant(self, waiting: shards.Waiting, choice: placement.Choice) -> None:
         demand = waiting.demand
         work = self._queues.work(demand.id)
         self._queues.charge(demand.rank, demand.team, work)
         self._drain.granted(demand.rank, work)
-        self._unread.add(demand.id)
-        choice.view.engine.index.begin(demand.blocks)
+        self._unread_ids.add(demand.id)
+        choice.view.engine.index.begin_prefill(demand.blocks)
         self._shard.grant(
             waiting, choice.view.name, choice.cached_tokens, choice.first_seconds
         )
         choice.view.refresh()
-        # The others of its session find their prompt's beginning cached there.
+        # Other demands of the session will find their common prefix cached there.
         for request_id in list(self._sessions.get(demand.session, ())):
-            self._queues.measure_again(self._shard.queue[request_id])
+            self._queues.remeasure(self._shard.queue[request_id])
 
     def _measure(self, waiting: shards.Waiting) -> int:
-        return placement.work(waiting.demand, self._views)
+        return placement.work(waiting.demand, self._last_views)
--- a/packages/daemon/cassiaquay_daemon/decisions/windows.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/windows.py
@@ -7,7 +7,7 @@
 
 
 class Window:
-    """Amounts of the last seconds and their sum."""
+    """Amounts of the last ``seconds`` and their sum."""
 
     def __init__(self, seconds: float):
         self._seconds = seconds
@@ -17,16 +17,16 @@
 
     @property
     def unknown_share(self) -> float:
-        """Part of the window that was before this one began to count."""
+        """Share of the window's time before this object began to count."""
         return max(1.0 - (clock.now() - self._began_at) / self._seconds, 0.0)
 
     def add(self, amount: float) -> None:
-        """Count an amount now."""
+        """Add an amount at the current time."""
         self._amounts.append((clock.now(), amount))
         self._sum += amount
 
     def sum(self) -> float:
-        """Return the sum of the window that ends now."""
+        """Return the sum over the window that ends now."""
         horizon = clock.now() - self._seconds
         while self._amounts and self._amounts[0][0] < horizon:
             self._sum -= self._amounts.popleft()[1]
@@ -34,10 +34,10 @@
 
 
 def window_of(
-    known: collections.abc.MutableMapping[str, Window], key: str, seconds: float
+    windows: collections.abc.MutableMapping[str, Window], key: str, seconds: float
 ) -> Window:
-    """Return the window of a key, a new one when there is none."""
-    found = known.get(key)
+    """Return the window of a key; create it when there is none."""
+    found = windows.get(key)
     if found is None:
-        found = known[key] = Window(seconds)
+        found = windows[key] = Window(seconds)
     return found
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -320,7 +320,7 @@
     Taken at its word for ever it would never show that it has recovered.
     """
     speed = speeds.Speed(8000, None)
-    speed.heard(0.0)
+    speed.record_sample_time(0.0)
     speed.generated(10, 10.0)
     assert speed.estimate(0.5, True).token_seconds == pytest.approx(1.0)
     assert speed.estimate(30.0, False).token_seconds == pytest.approx(1.0)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -97,10 +97,10 @@
 def test_many_suspects_do_not_fill_the_memory(time) -> None:
     """Guards against growth without bound when all servers crash."""
     held = _quarantine()
-    for number in range(quarantine.MOST_SUSPECTS + 100):
+    for number in range(quarantine.MAX_SUSPECTS + 100):
         time.now += 0.001
         held.crashed(f"request {number}", "i-1")
-    assert held.suspect_count == quarantine.MOST_SUSPECTS
+    assert held.suspect_count == quarantine.MAX_SUSPECTS
     assert not held.reports()
 
 
