--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -1,8 +1,4 @@
-"""The keeper's state of one shard of a pool: waiting demands, permits, servers.
-
-An owner is the instance that accepted a request. It sends a demand to the keeper, which
-answers with a permit to dispatch the request to a server, or sheds it.
-"""
+"""A keeper's state of one shard: owners' (accepting instances') demands and permits."""
 
 import collections.abc
 import typing
@@ -15,9 +11,8 @@
 
 # Time for the report of a dispatch to reach the keeper after the permit has expired.
 DISPATCH_REPORT_SECONDS = 0.4
-# Owners repeat unanswered demands every renewal period. A demand not repeated for this
-# many periods belongs to an owner that has stopped, or was read after a pause of this
-# process.
+# Owners repeat unanswered demands every renewal period; one not repeated for this many
+# periods has lost its owner, or was read after a pause of this process.
 STALE_PERIODS = 4.0
 # How long a server counts as down after it refused a connection.
 REFUSED_SECONDS = 2.0
@@ -42,10 +37,8 @@
         The demand as the owner sent it last.
     replier : Replier
         Sends the answer to the owner.
-    arrived_at, deadline : float
-        Seconds on this clock.
-    renewed_at : float
-        When the owner sent it last; seconds on this clock.
+    arrived_at, deadline, renewed_at : float
+        Seconds on this clock; the owner sent it last at ``renewed_at``.
     """
 
     demand: messages.Demand
@@ -138,10 +131,9 @@
         self.weights: dict[str, float] = {}
         self.margins: dict[int, float] = {}
         self.may_shed: collections.abc.Callable[[int], bool] = _may_always_shed
-        # Returns the name of another shard of the pool in which the demand would wait
-        # less than the given seconds, or an empty string.
+        # Returns another shard of the pool in which a demand waits less than the given
+        # seconds, or "". `waits` returns the expected wait here of new demands by rank.
         self.find_sibling: collections.abc.Callable[[Waiting, float], str] = _no_sibling
-        # Returns the estimated wait in this shard of a new demand of each rank.
         self.waits: collections.abc.Callable[[], list[messages.RankWait]] = list
         self.cutoffs = priority_cutoffs.PriorityCutoffs()
         self.cold_budgets = slow_start.ColdBudgets(
@@ -165,8 +157,7 @@
         Parameters
         ----------
         owners : collection of str, optional
-            Live instances; the shard opens early when all of them have reported. When
-            omitted, it opens only after the full time.
+            Live instances; the shard opens early when all of them have reported.
         """
         # A new keeper that granted at once would put a second load on engines that
         # are already full, and make every answer late.
@@ -244,10 +235,7 @@
             self._unqueue(request_id)
 
     def renew(self, owner: str, outstanding: list[messages.Outstanding]) -> None:
-        """Replace an owner's running requests by those that its renewal lists.
-
-        Requests are accepted as listed, also when another keeper granted them.
-        """
+        """Accept an owner's list of running requests, whichever keeper granted them."""
         now = clock.now()
         lease = now + self.settings.keeper.lease_seconds
         listed_ids = set()
@@ -265,23 +253,21 @@
     def progress(self, message: messages.Progress) -> None:
         """Record which permits were used and which prompts had their first event."""
         now = clock.now()
-        for progress_step in message.steps:
-            running = self.running.get(progress_step.id)
+        for step in message.steps:
+            running = self.running.get(step.id)
             if running is None:
                 continue
-            at = now - progress_step.age_ms / 1000.0
+            at = now - step.age_ms / 1000.0
             lease = now + self.settings.keeper.lease_seconds
-            self.running[progress_step.id] = running._replace(
-                dispatched=True, expires_at=lease
-            )
-            if not progress_step.started:
+            self.running[step.id] = running._replace(dispatched=True, expires_at=lease)
+            if not step.started:
                 continue
-            found = self.load(running.server).start(progress_step.id, at)
+            found = self.load(running.server).start(step.id, at)
             self._refused.pop(running.server, None)
             self.cold_budgets.cold.confirm_alive(running.server)
             if found is None:
                 continue
-            self.running[progress_step.id] = self.running[progress_step.id]._replace(
+            self.running[step.id] = self.running[step.id]._replace(
                 produced=1, produced_at=at
             )
             for observer in self._observers:
@@ -311,8 +297,7 @@
         self._unqueue(demand.id)
         now = clock.now()
         keeper = self.settings.keeper
-        # An unused permit is never renewed: unless a dispatch is reported, the capacity
-        # is released shortly after the permit expires.
+        # Unused permits are not renewed; their capacity is released after they expire.
         permit_ms = self.cold_budgets.granted(server, keeper.permit_ms)
         expires_at = now + permit_ms / 1000.0 + DISPATCH_REPORT_SECONDS
         tokens = demand.prompt_tokens + demand.output_tokens
@@ -378,28 +363,19 @@
 
         The rank is -1 when no rank is refused, 0 when no server can be reached.
         """
-        reachable = [
-            item for item in self.open_servers() if not self.is_refusing(item.name)
-        ]
-        if not reachable:
+        up = [item for item in self.open_servers() if not self.is_refusing(item.name)]
+        if not up:
             return 0, DOWN_RETRY_MS
         return self.cutoffs.floor
 
     def is_refusing(self, server: str) -> bool:
-        """Return whether a server has recently refused a connection.
-
-        A first event from the server ends this early.
-        """
+        """Return whether a server refused a connection; cleared by a first event."""
         age = clock.now() - self._refused.get(server, float("-inf"))
         return age < REFUSED_SECONDS
 
     def open_servers(self) -> list[fleet.Server]:
         """Return the servers that may get new work."""
-        return [
-            item
-            for item in self.servers.values()
-            if item.name not in self.closed_servers
-        ]
+        return [s for s in self.servers.values() if s.name not in self.closed_servers]
 
     def tokens_on(self, server: str) -> int:
         """Return the tokens in flight on a server."""
@@ -421,11 +397,9 @@
             known = Running(owner, item.server, tokens, lease, produced_at=now)
             self._add_running(item.id, known)
         known = known._replace(owner=owner, expires_at=lease, dispatched=True)
-        self.running[item.id] = self._record_progress(item, known, now)
+        self.running[item.id] = self._grow(item, known, now)
 
-    def _record_progress(
-        self, item: messages.Outstanding, known: Running, now: float
-    ) -> Running:
+    def _grow(self, item: messages.Outstanding, known: Running, now: float) -> Running:
         if not item.produced:
             return known
         found = self.load(known.server).start(item.id, now)
