--- a/tests/objectives_fakes.py
+++ b/tests/objectives_fakes.py
@@ -1,4 +1,4 @@
-"""A shard under the policy of objectives, and engines that answer as they are told."""
+"""Test bench for the objectives policy: one shard and simulated engines."""
 
 import policy_fakes as fakes
 
@@ -7,7 +7,7 @@
 
 
 class Bench:
-    """A shard under the policy, and engines that answer as they are told."""
+    """A shard with the objectives policy; tests simulate its engines' answers."""
 
     def __init__(self, time: fakes.Time, slots: dict[str, int], **tokens: int):
         self.time = time
@@ -17,7 +17,7 @@
         self.count = 0
 
     def demand(self, **fields) -> str:
-        """Bring a demand; return its id."""
+        """Add a demand to the shard; return its id."""
         self.count += 1
         found = fakes.demand(
             fields.pop("name", f"d{self.count}"),
@@ -32,7 +32,7 @@
         return found.id
 
     def start(self, request_id: str) -> None:
-        """Let a request that was granted give its first event."""
+        """Report the dispatch and the first event of a granted request."""
         server = self.owner.permits()[request_id]
         steps = [
             messages.Step(request_id, server, False, 0.0),
@@ -42,19 +42,19 @@
         self.shard.progress(messages.Progress(fakes.SHARD, steps[1:]))
 
     def end(self, request_id: str, outcome: str = "completed") -> None:
-        """Let a request that was granted end."""
+        """Report the end of a granted request."""
         server = self.owner.permits()[request_id]
         release = fakes.release(request_id, server)._replace(outcome=outcome)
         self.policy.learn(release)
         self.shard.drop(request_id)
 
     def set_speed(self, server: str, rate: float, event_seconds: float) -> None:
-        """Let the policy know a server's speed."""
+        """Set the policy's estimates of a server's speed."""
         found = self.policy._times_of(server)
         found.rate = rate
         found.event_seconds = event_seconds
         found.base_seconds = 0.04
 
     def serve(self) -> None:
-        """Let the policy decide."""
+        """Run one pass of the policy."""
         self.policy.serve()
--- a/tests/policy_fakes.py
+++ b/tests/policy_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the keeper roles: clock, links, members."""
+"""Fakes for tests of keepers and policies: clock, links, members, configuration."""
 
 import collections.abc
 import contextlib
@@ -16,14 +16,14 @@
 
 
 class Time:
-    """A clock that tests move."""
+    """A manual clock."""
 
     def __init__(self) -> None:
         self.now = 1000.0
 
     @contextlib.contextmanager
     def used(self) -> collections.abc.Iterator["Time"]:
-        """Let the daemon's code run by this clock."""
+        """Install this clock as the daemon's clock."""
         before = clock.use(lambda: self.now)
         try:
             yield self
@@ -32,7 +32,7 @@
 
 
 class Owner:
-    """An owner's link: keeps what it is sent."""
+    """A link to an owner, which records the messages sent to it."""
 
     def __init__(self, instance: str = "cq-1"):
         self.instance = instance
@@ -40,7 +40,7 @@
         self.sent: list[messages.Message] = []
 
     def send(self, message: messages.Message) -> bool:
-        """Keep a message."""
+        """Record a message."""
         self.sent.append(message)
         return True
 
@@ -50,30 +50,30 @@
         return {item.id: item.server for item in found}
 
     def sheds(self) -> dict[str, messages.Shed]:
-        """Return what was shed, by request id."""
+        """Return the shed messages, by request id."""
         found = [item for item in self.sent if isinstance(item, messages.Shed)]
         return {item.id: item for item in found}
 
 
 class Links:
-    """Stands for Peers."""
+    """Fake of `Peers` that records the registered handlers."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, typing.Any] = {}
 
     def on(self, kind: type, handler: typing.Any) -> None:
-        """Keep a handler."""
+        """Record a handler."""
         self.handlers[kind] = handler
 
     def on_down(self, call: typing.Any) -> None:
-        """Keep nothing."""
+        """Ignore the callback."""
 
     def on_up(self, call: typing.Any) -> None:
-        """Keep nothing."""
+        """Ignore the callback."""
 
 
 class Membership:
-    """Stands for the members: names, links, and who keeps what."""
+    """Fake of the membership: instance names, links and one keeper of all shards."""
 
     def __init__(self, keeper: str, owners: list[Owner]):
         self.keeper = keeper
@@ -82,7 +82,7 @@
         self.changed: list[collections.abc.Callable[[], None]] = []
 
     def keeper_of(self, key: str) -> str:
-        """Return the keeper of everything."""
+        """Return the keeper, which is the same for all keys."""
         return self.keeper
 
     def alive(self) -> list[Owner]:
@@ -90,22 +90,22 @@
         return list(self.owners.values())
 
     def link(self, instance: str) -> Owner | None:
-        """Return an owner as its own link."""
+        """Return an owner, which is its own link."""
         return self.owners.get(instance)
 
     def on_change(self, call: collections.abc.Callable[[], None]) -> None:
-        """Keep a callback."""
+        """Record a callback."""
         self.changed.append(call)
 
     def move(self, keeper: str) -> None:
-        """Let another instance be the keeper."""
+        """Make another instance the keeper and run the callbacks."""
         self.keeper = keeper
         for call in self.changed:
             call()
 
 
 class Configured:
-    """Stands for the configuration."""
+    """Fake of the configuration with one fixed snapshot."""
 
     def __init__(self, extra: str = ""):
         deployment = deployments.BRINDLEY
@@ -116,11 +116,11 @@
         self.current = snapshots.read(1, extra_lines(text, extra))
 
     def on_accept(self, call: collections.abc.Callable[[], None]) -> None:
-        """Keep nothing."""
+        """Ignore the callback."""
 
 
 def extra_lines(text: str, extra: str) -> str:
-    """Return a fleet text with lines added below the header of their first line."""
+    """Return a fleet text with lines inserted below the header that they start with."""
     if not extra:
         return text
     header, _, lines = extra.partition("\n")
@@ -139,7 +139,7 @@
 
 
 def shard(slots: dict[str, int], **keeper: typing.Any) -> shards.Shard:
-    """Return an open shard of servers with so many slots each."""
+    """Return an open shard whose servers have the given numbers of slots."""
     found = shards.Shard(SHARD, settings(**keeper))
     found.close([])
     for name, count in slots.items():
@@ -182,7 +182,7 @@
 def release(
     request_id: str, server: str, first_ms: float = 50.0, cached_tokens: int = 0
 ) -> messages.Release:
-    """Return the news that a request has completed."""
+    """Return the release of a completed request."""
     return messages.Release(
         request_id, SHARD, server, "completed", 40, cached_tokens, 20, first_ms, 300.0
     )
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -1,4 +1,4 @@
-"""The policy of objectives: first events in time, or refused at once."""
+"""The objectives policy: first events in time, or an immediate refusal."""
 
 import objectives_fakes
 import policy_fakes as fakes
@@ -14,7 +14,7 @@
         yield time
 
 
-def test_free_slots_are_used_at_once(time) -> None:
+def test_free_slots_are_granted_in_the_same_pass(time) -> None:
     bench = objectives_fakes.Bench(time, {"a": 2, "b": 2})
     names = [bench.demand() for _ in range(4)]
     bench.serve()
@@ -22,8 +22,8 @@
     assert sorted(bench.owner.permits().values()) == ["a", "a", "b", "b"]
 
 
-def test_a_long_answer_goes_to_the_fast_engine(time) -> None:
-    """Engines differ fourfold; on the slow one the answer would miss its deadline."""
+def test_long_answer_is_placed_on_the_fast_engine(time) -> None:
+    """Guards against a long answer on a slow engine, where it misses its deadline."""
     bench = objectives_fakes.Bench(time, {"slow": 8, "fast": 1})
     bench.set_speed("slow", 20_000.0, 0.08)
     bench.set_speed("fast", 75_000.0, 0.018)
@@ -33,10 +33,11 @@
     assert bench.owner.permits() == {"long": "fast", "short": "slow"}
 
 
-def test_a_long_prompt_does_not_stop_running_streams(time) -> None:
-    """A prompt of 9,000 tokens would stop the slow engine's streams for 450 ms.
+def test_long_prompt_is_not_placed_where_it_pauses_streams(time) -> None:
+    """Guards against a prefill that pauses running streams beyond their limit.
 
-    Their callers would see a pause over 300 ms in answers that were in time so far.
+    A prompt of 9,000 tokens would pause the slow engine's streams for 450 ms, and their
+    objective allows 300 ms.
     """
     bench = objectives_fakes.Bench(time, {"slow": 8})
     bench.set_speed("slow", 20_000.0, 0.08)
@@ -51,11 +52,11 @@
     assert bench.owner.permits()["long"] == "slow"
 
 
-def test_what_cannot_get_a_slot_in_time_is_refused_at_once(time) -> None:
-    """All slots are taken for seconds when a request comes.
+def test_demand_without_a_slot_in_time_is_shed_at_once(time) -> None:
+    """Guards against a refusal only after the objective has passed.
 
-    It is refused in the same pass, with a time to come back, instead of being held
-    until its objective has passed.
+    All slots are taken for seconds when the request arrives; it is refused with a
+    Retry-After in the same pass.
     """
     bench = objectives_fakes.Bench(time, {"a": 2})
     for _ in range(2):
@@ -68,12 +69,11 @@
     assert shed.retry_after_ms >= 200
 
 
-def test_a_refused_caller_is_back_when_a_burst_is_over(time) -> None:
-    """A burst fills all slots for seconds, and callers come back once.
+def test_retry_after_outlasts_a_burst_and_is_jittered(time) -> None:
+    """Guards against a Retry-After that ends within the same burst.
 
-    Told to be back in a third of a second, they are in the same burst and are refused
-    for good. They are told a time between two ninths and a third of what they have,
-    each another one, so that they do not make a burst of their own.
+    Callers retry once. The Retry-After is between two ninths and a third of the time
+    that the caller has left, with jitter so that the retries are not a burst again.
     """
     bench = objectives_fakes.Bench(time, {"a": 1})
     bench.demand(events=400)
@@ -81,14 +81,14 @@
     names = [bench.demand(remaining_ms=12_000) for _ in range(20)]
     bench.serve()
     sheds = bench.owner.sheds()
-    told = {sheds[name].retry_after_ms for name in names}
-    assert min(told) >= 12_000 * 2 // 9
-    assert max(told) <= 12_000 // 3
-    assert len(told) > 10
+    retry_after_ms = {sheds[name].retry_after_ms for name in names}
+    assert min(retry_after_ms) >= 12_000 * 2 // 9
+    assert max(retry_after_ms) <= 12_000 // 3
+    assert len(retry_after_ms) > 10
 
 
-def test_what_gets_a_slot_in_time_waits_for_it(time) -> None:
-    """The slot comes free in 50 ms, and the objective is 400 ms away."""
+def test_demand_waits_for_a_slot_that_frees_in_time(time) -> None:
+    """The slot becomes free in 50 ms, and the objective is 400 ms away."""
     bench = objectives_fakes.Bench(time, {"a": 1})
     bench.set_speed("a", 75_000.0, 0.018)
     bench.demand(name="runs", events=3)
@@ -104,7 +104,7 @@
 
 
 def test_a_higher_tier_goes_first_and_is_not_shed_for_a_lower_one(time) -> None:
-    """Ten requests of each of three tiers come together, and four slots are free."""
+    """Ten requests of each of three tiers arrive at once, and four slots are free."""
     bench = objectives_fakes.Bench(time, {"a": 4})
     for rank in (2, 1, 0):
         for number in range(10):
@@ -113,15 +113,15 @@
     granted = bench.owner.permits()
     assert len(granted) == 4
     assert all(name.startswith("r0") for name in granted)
-    # Once a tier is shed, none below it gets a slot for a moment.
+    # Once a tier is shed, no tier below it gets a slot for a short time.
     bench.end(next(iter(granted)))
     bench.demand(name="low", rank=2, events=4)
     bench.serve()
     assert "low" not in bench.owner.permits()
 
 
-def test_a_flood_of_one_team_stands_behind_the_few_of_another(time) -> None:
-    """One team sends twenty requests, then another one sends one."""
+def test_flood_of_one_team_does_not_delay_another_team(time) -> None:
+    """One team sends twenty requests, then another team sends one."""
     bench = objectives_fakes.Bench(time, {"a": 4})
     for number in range(20):
         bench.demand(name=f"flood{number}", team="questions")
@@ -130,10 +130,11 @@
     assert "few" in bench.owner.permits()
 
 
-def test_the_longest_prompts_are_served_though_late(time) -> None:
-    """A prompt of 50,000 tokens cannot be read within its objective anywhere.
+def test_prompt_too_long_for_its_objective_is_served_late(time) -> None:
+    """Guards against prompts that are too long for any engine and are always refused.
 
-    Refused each time it came, its caller would never be served at all.
+    The prefill of 50,000 tokens exceeds the objective on every engine, so the request
+    is served late.
     """
     bench = objectives_fakes.Bench(time, {"a": 4})
     bench.set_speed("a", 75_000.0, 0.018)
@@ -142,7 +143,7 @@
     assert bench.owner.permits() == {"giant": "a"}
 
 
-def test_a_giant_waits_for_a_slot_without_being_refused(time) -> None:
+def test_prompt_too_long_for_its_objective_waits_for_a_slot(time) -> None:
     bench = objectives_fakes.Bench(time, {"a": 1})
     bench.set_speed("a", 75_000.0, 0.018)
     bench.demand(name="runs", events=60)
@@ -157,7 +158,7 @@
     assert bench.owner.permits()["giant"] == "a"
 
 
-def test_what_nobody_waits_for_any_more_is_given_up(time) -> None:
+def test_demand_is_shed_after_its_caller_abandons_it(time) -> None:
     bench = objectives_fakes.Bench(time, {"a": 1})
     bench.demand(name="runs", events=400)
     bench.serve()
@@ -168,17 +169,17 @@
     assert "giant" in bench.owner.sheds()
 
 
-def test_operators_see_how_a_demand_is_weighed(time) -> None:
+def test_explain_estimates_every_open_server(time) -> None:
     bench = objectives_fakes.Bench(time, {"a": 1, "b": 1})
     found = bench.policy.explain(fakes.demand("x"))
     assert {item.server for item in found} == {"a", "b"}
 
 
-def test_a_tier_that_is_held_back_is_told_when_its_time_has_passed(time) -> None:
-    """Another shard sheds an urgent tier for seconds; this one has free slots.
+def test_held_back_demand_is_shed_when_it_cannot_be_in_time(time) -> None:
+    """Guards against held-back requests that wait until their callers give up.
 
-    The lower tier gets none of them meanwhile. A caller of it that waits until it
-    leaves has waited for nothing: it is told to come back once it cannot be in time.
+    Another shard sheds an urgent tier for seconds, so the lower tier gets no slot here
+    although some are free. Its requests are shed once they cannot be in time.
     """
     bench = objectives_fakes.Bench(time, {"a": 4})
     bench.shard.cutoffs.hold_back(0, time.now + 5.0)
@@ -191,8 +192,8 @@
     assert not bench.owner.permits()
 
 
-def test_whoever_is_held_back_does_not_make_the_hold_longer(time) -> None:
-    """The hold of the urgent tier ends; the lower tier gets slots at once."""
+def test_shedding_held_back_demands_does_not_extend_the_hold(time) -> None:
+    """Guards against a hold that the sheds of held-back requests keep renewing."""
     bench = objectives_fakes.Bench(time, {"a": 4})
     bench.shard.cutoffs.hold_back(0, time.now + 1.0)
     bench.demand(rank=1)
@@ -205,11 +206,11 @@
     assert name in bench.owner.permits()
 
 
-def test_a_hold_that_lasts_is_told_at_once(time) -> None:
-    """The urgent tier has been shed for longer than a request can wait.
+def test_demand_is_shed_at_once_during_a_long_hold(time) -> None:
+    """Guards against late refusals during a hold that outlasts the requests.
 
-    Who comes now would be told the same when its time has passed; told at once, its
-    caller can come back while there is time left.
+    The urgent tier has been shed for longer than a request can wait. A new request is
+    refused at once, so that its caller can retry while there is time left.
     """
     bench = objectives_fakes.Bench(time, {"a": 4})
     bench.shard.cutoffs.hold_back(0, time.now + 5.0)
@@ -225,12 +226,12 @@
     assert name in bench.owner.permits()
 
 
-def test_the_longest_answers_do_not_wait_for_what_will_not_come(time) -> None:
-    """An answer of 400 events takes eight of its ten seconds at the fastest server.
+def test_answer_too_long_for_its_deadline_is_granted_at_once(time) -> None:
+    """Guards against holding back the longest answers while slots are free.
 
-    By its estimate it would be cut off anywhere. Held back while slots are free, until
-    its first event is nearly late, it gets what is free at that moment, in a burst
-    nothing; its caller, who waits for the largest of all answers, is refused late.
+    By the estimate, an answer of 400 events takes eight of its ten seconds on the
+    fastest server and would be cut off anywhere. If it waited until its first event is
+    nearly late, a burst could have taken all slots, and it would be refused late.
     """
     bench = objectives_fakes.Bench(time, {"a": 2, "b": 2})
     for name in ("a", "b"):
@@ -240,11 +241,11 @@
     assert "longest" in bench.owner.permits()
 
 
-def test_an_answer_longer_than_its_caller_said_is_not_about_to_end(time) -> None:
-    """All slots run answers that have passed their estimates, as half of all do.
+def test_overrunning_answer_is_not_forecast_to_end_at_once(time) -> None:
+    """Guards against counting an overrunning answer as a slot about to become free.
 
-    Each counted as a slot that comes free at once, a request would be held for it until
-    its time has nearly passed, and be refused then. It is refused when it comes.
+    Half of all answers exceed their estimates. A request would wait for such a slot
+    until it is nearly late and be refused only then; it must be refused on arrival.
     """
     bench = objectives_fakes.Bench(time, {"a": 1})
     bench.set_speed("a", 75_000.0, 0.05)
@@ -259,11 +260,11 @@
     assert late in bench.owner.sheds()
 
 
-def test_a_long_prompt_waits_for_a_late_slot_in_place_of_being_refused(time) -> None:
-    """A prompt takes 0.4 s of its 0.6 s, and the only slot comes free in 0.5 s.
+def test_long_prompt_waits_for_a_late_slot_instead_of_being_shed(time) -> None:
+    """Guards against refusing long prompts whenever slots are scarce.
 
-    Refused at once as a short one is, it would be refused whenever slots are short. It
-    is served late.
+    The prefill takes 0.4 s of the 0.6 s objective, and the only slot becomes free in
+    0.5 s. A short prompt is refused at once; the long one is served late.
     """
     bench = objectives_fakes.Bench(time, {"a": 1})
     bench.set_speed("a", 75_000.0, 0.025)
@@ -280,11 +281,11 @@
     assert "long" in bench.owner.permits()
 
 
-def test_the_next_of_a_tier_keeps_its_place_when_a_reckoning_gets_worse(time) -> None:
-    """It was to get a slot in 50 ms; the answer there goes on for longer than reckoned.
+def test_next_demand_of_a_tier_stays_queued_when_the_forecast_worsens(time) -> None:
+    """Guards against shedding the next request of a tier when a forecast worsens.
 
-    The next slot that comes free is its own, whichever that is. Refused for the new
-    reckoning, it would leave that slot to a lower tier.
+    Its slot was expected in 50 ms, but the answer there takes longer than estimated.
+    If it were shed, the next free slot would go to a lower tier.
     """
     bench = objectives_fakes.Bench(time, {"a": 1})
     bench.set_speed("a", 75_000.0, 0.025)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy of one shard: order, fairness, deadlines, placement."""
+"""The tiered policy of one shard: order, fairness, deadlines, placement."""
 
 import collections
 
@@ -18,8 +18,8 @@
         yield time
 
 
-def _read(shard, owner, time, seconds=0.02) -> None:
-    """Let all prompts granted so far be read."""
+def _report_first_events(shard, owner, time, seconds=0.02) -> None:
+    """Report the first events of all prompts granted so far."""
     time.now += seconds
     steps = []
     for request_id, running in list(shard.running.items()):
@@ -27,10 +27,11 @@
     shard.progress(messages.Progress(shard.name, steps))
 
 
-def test_a_waiting_higher_tier_gets_the_next_slot(time) -> None:
-    """A full engine frees one slot while background work came first.
+def test_next_slot_goes_to_the_highest_waiting_tier(time) -> None:
+    """Guards against serving in arrival order across tiers.
 
-    The background caller waits longer; the urgent one, which came last, is served.
+    A full engine frees one slot. Three background requests arrived first; the urgent
+    one, which arrived last, gets it.
     """
     shard = fakes.shard({"a": 1})
     policy = fakes.policy(shard)
@@ -48,10 +49,11 @@
     assert list(owner.permits()) == ["running", "urgent"]
 
 
-def test_capacity_that_a_higher_tier_cannot_use_is_not_wasted(time) -> None:
-    """An urgent request refuses the only free engine (its connection just failed).
+def test_lower_tier_gets_an_engine_that_a_higher_one_avoids(time) -> None:
+    """Guards against idle engines that only a higher tier's request avoids.
 
-    A background request may have that engine; the one that is full stays held.
+    An urgent request avoids the only free engine, whose connection just failed. A
+    background request may use that engine; the full one stays reserved.
     """
     shard = fakes.shard({"a": 1, "b": 1})
     policy = fakes.policy(shard)
@@ -70,8 +72,8 @@
     assert "urgent" in shard.queue
 
 
-def test_teams_of_a_tier_share_by_weight(time) -> None:
-    """Two teams keep the queue full; one has three times the other's weight."""
+def test_teams_of_a_tier_share_capacity_by_weight(time) -> None:
+    """Both teams have waiting demands at all times; the weights are 3 to 1."""
     shard = fakes.shard({"a": 4})
     shard.weights = {"heavy": 3.0, "light": 1.0}
     policy = fakes.policy(shard)
@@ -82,7 +84,7 @@
             shard.add(demand, owner)
     while len(owner.permits()) < 120:
         policy.serve()
-        _read(shard, owner, time)
+        _report_first_events(shard, owner, time)
         for request_id, running in list(shard.running.items()):
             policy.learn(fakes.release(request_id, running.server))
             shard.drop(request_id)
@@ -90,10 +92,11 @@
     assert teams["heavy"] / teams["light"] == pytest.approx(3.0, rel=0.1)
 
 
-def test_what_no_engine_can_finish_is_refused_at_once(time) -> None:
-    """An answer of 2000 tokens is wanted within a second.
+def test_demand_that_no_engine_can_finish_is_shed_at_once(time) -> None:
+    """Guards against queueing demands that no engine can finish in time.
 
-    The caller hears "not run" in the same pass, and that asking again is no use.
+    An answer of 2000 tokens is due within a second. It is shed in the same pass, with
+    a Retry-After of 0 since a retry would not help.
     """
     shard = fakes.shard({"a": 8})
     policy = fakes.policy(shard)
@@ -105,10 +108,11 @@
     assert not owner.permits()
 
 
-def test_a_request_that_waited_too_long_is_never_granted(time) -> None:
-    """The engine frees up when the deadline is nearer than the answer takes.
+def test_demand_is_shed_when_too_little_time_is_left(time) -> None:
+    """Guards against granting a demand whose answer would end after its deadline.
 
-    The caller is told before; the engine is not given work whose result is late.
+    The engine becomes free when less time is left than the answer takes; the demand is
+    shed before that.
     """
     shard = fakes.shard({"a": 1})
     policy = fakes.policy(shard)
@@ -125,8 +129,8 @@
     assert list(owner.permits()) == ["first"]
 
 
-def test_the_queue_gives_up_the_lowest_tier_first(time) -> None:
-    """More demands come than the queue may hold; urgent ones push background out."""
+def test_full_queue_sheds_the_lowest_tier_first(time) -> None:
+    """More demands arrive than the queue may hold; urgent ones displace background."""
     shard = fakes.shard({"a": 1}, max_queue=10)
     policy = fakes.policy(shard)
     owner = fakes.Owner()
@@ -143,11 +147,11 @@
     assert all(item.retry_after_ms >= 200 for item in shed.values())
 
 
-def test_no_lower_tier_is_served_right_after_a_higher_one_was_shed(time) -> None:
-    """A tier was shed for overload; a moment later a slot is free.
+def test_no_lower_tier_is_granted_right_after_a_higher_one_was_shed(time) -> None:
+    """Guards against serving a lower tier right after a higher one was shed.
 
-    Background work gets nothing until the floor is over: whoever was shed must not
-    see less important work served meanwhile.
+    A slot becomes free shortly after the shed. Background demands get nothing until
+    the floor has expired.
     """
     shard = fakes.shard({"a": 4})
     policy = fakes.policy(shard)
@@ -162,25 +166,25 @@
     assert list(owner.permits()) == ["same", "background"]
 
 
-def test_a_session_goes_back_to_where_its_prefix_is(time) -> None:
-    """Two engines are idle; one has read the session's history."""
+def test_session_returns_to_the_engine_that_caches_its_prefix(time) -> None:
+    """Two engines are idle; one of them caches the session's history."""
     shard = fakes.shard({"a": 8, "b": 8})
     policy = fakes.policy(shard)
     owner = fakes.Owner()
     shard.add(fakes.demand("one", prompt=HISTORY, session="s"), owner)
     policy.serve()
-    _read(shard, owner, time, 0.4)
+    _report_first_events(shard, owner, time, 0.4)
     server = owner.permits()["one"]
     for number in range(4):
         prompt = f"{HISTORY} question {number}"
         shard.add(fakes.demand(f"more-{number}", prompt=prompt, session="s"), owner)
         policy.serve()
-        _read(shard, owner, time)
+        _report_first_events(shard, owner, time)
     assert set(owner.permits().values()) == {server}
 
 
-def test_calls_of_a_plain_service_spread_and_shun_the_slow_server(time) -> None:
-    """Three plain servers, one ten times slower; all calls are one unit of output."""
+def test_plain_calls_spread_over_servers_except_a_slow_one(time) -> None:
+    """Three plain servers, one of them ten times slower."""
     shard = fakes.shard({"a": 8, "b": 8, "slow": 8})
     policy = fakes.policy(shard)
     owner = fakes.Owner()
@@ -203,11 +207,12 @@
     assert servers["slow"] < 40
 
 
-def test_a_prompt_that_is_being_read_is_not_read_twice(time) -> None:
-    """A second request of a session comes while its history is being read.
+def test_demand_waits_for_a_pending_prefill_of_its_prefix(time) -> None:
+    """Guards against two concurrent prefills of the same session history.
 
-    Engines look into their cache at admission: granted now it would read everything
-    again. It waits for the first event of the other one, then goes there.
+    Engines look up their cache at admission, so a second request that is granted
+    during the first prefill would repeat it. It waits for the first event of the first
+    request, then goes to the same engine.
     """
     shard = fakes.shard({"a": 8, "b": 8})
     policy = fakes.policy(shard)
@@ -216,16 +221,16 @@
         shard.add(fakes.demand(name, prompt=HISTORY, session="s"), owner)
     policy.serve()
     assert list(owner.permits()) == ["one"]
-    _read(shard, owner, time, 0.4)
+    _report_first_events(shard, owner, time, 0.4)
     policy.serve()
     assert owner.permits()["two"] == owner.permits()["one"]
 
 
-def test_an_engine_that_falls_silent_gets_nothing_more(time) -> None:
-    """An engine slows down without telling: the prompt it reads does not end.
+def test_unresponsive_engine_gets_no_more_demands(time) -> None:
+    """Guards against sending more work to an engine that has stopped responding.
 
-    Nothing completes, so nothing can be learned from completions; the age of what is
-    out is enough to send the next requests elsewhere.
+    Its prefill does not end, so there are no completions to learn from; the age of the
+    unfinished prefill must suffice to place the next requests elsewhere.
     """
     shard = fakes.shard({"a": 8, "b": 8})
     policy = fakes.policy(shard)
@@ -243,8 +248,11 @@
     assert stuck not in servers
 
 
-def test_a_long_queue_is_served_in_bounded_work(time) -> None:
-    """4000 demands wait for full engines: a pass looks at none of them."""
+def test_pass_weighs_no_demands_while_all_engines_are_full(time) -> None:
+    """Guards against passes that grow with the queue.
+
+    4000 demands wait for full engines; a pass weighs none of them.
+    """
     shard = fakes.shard({f"e{number}": 1 for number in range(16)}, max_queue=5000)
     policy = fakes.policy(shard)
     owner = fakes.Owner()
@@ -252,16 +260,16 @@
         demand = fakes.demand(f"{number}", rank=number % 4, team=f"t{number % 5}")
         shard.add(demand._replace(remaining_ms=600_000), owner)
     policy.serve()
-    seen = []
-    weighed = policy._serve_team
-    policy._serve_team = lambda *found: seen.append(found) or weighed(*found)
+    calls = []
+    serve_team = policy._serve_team
+    policy._serve_team = lambda *found: calls.append(found) or serve_team(*found)
     policy.serve()
     assert len(owner.permits()) == 16
-    assert not seen
+    assert not calls
 
 
-def test_totals_agree_with_what_runs(time) -> None:
-    """Running totals after grants, renewals, expiry and drops equal the sums."""
+def test_server_totals_equal_the_sums_over_running_requests(time) -> None:
+    """The running totals after grants, renewals, expiry and drops equal the sums."""
     shard = fakes.shard({"a": 8, "b": 8})
     policy = fakes.policy(shard)
     owner = fakes.Owner()
@@ -283,7 +291,7 @@
     assert len(shard.running) == 4
 
 
-def test_sampled_blocks_are_those_of_the_engines() -> None:
+def test_sampled_block_hashes_equal_those_of_the_engines() -> None:
     prompt = "lace " * 6000
     hashes = blocks.block_hashes(prompt)
     count = prefixes.block_count(prompt)
@@ -292,7 +300,7 @@
     assert len(wanted) < 40
 
 
-def test_the_index_forgets_sooner_than_an_engine_that_forgets_soon() -> None:
+def test_prefix_index_shrinks_when_the_engine_evicts_early() -> None:
     index = affinity.PrefixIndex()
     for number in range(1000):
         index.add([number])
@@ -302,7 +310,7 @@
     assert index.cached_tokens([5000], 1) == 64
 
 
-def test_the_limit_grows_by_doubling_and_shrinks_when_late() -> None:
+def test_token_limit_grows_exponentially_and_shrinks_when_late() -> None:
     speed = speeds.Speed(8000, None)
     speed.prefilled(4000, 0.4)
     for _ in range(60):
@@ -314,10 +322,11 @@
     assert speed.limit == pytest.approx(int(grown) * 0.8)
 
 
-def test_a_slow_estimate_does_not_keep_an_idle_engine_idle() -> None:
-    """An engine once took a second for each token and then got no more work.
+def test_slow_estimate_of_an_idle_engine_recovers() -> None:
+    """Guards against an engine that is never used again after one slow sample.
 
-    Taken at its word for ever it would never show that it has recovered.
+    It once took a second per token and then got no more work. Its estimate must recover
+    while it is idle, since there are no samples that could show its recovery.
     """
     speed = speeds.Speed(8000, None)
     speed.record_sample_time(0.0)
@@ -351,11 +360,11 @@
     assert found.prompt_tokens("s", 40) == 60
 
 
-def test_a_tiers_margin_decides_what_is_still_begun(time) -> None:
-    """A caller asks with hardly more time than the answer is estimated to take.
+def test_margin_of_a_tier_limits_which_demands_are_granted(time) -> None:
+    """The remaining time hardly exceeds the estimated duration of the answer.
 
-    By the usual margin the request waits in vain and is refused; in a tier whose
-    margin is small it is begun, at the risk of reading its prompt for nothing.
+    With the default margin the demand is not granted. With a small margin it is, at the
+    risk that the prefill is wasted.
     """
     for margin, granted in ((1.3, False), (0.9, True)):
         shard = fakes.shard({"a": 4})
--- a/tests/test_servers_health.py
+++ b/tests/test_servers_health.py
@@ -1,4 +1,4 @@
-"""Servers that fall silent, fail, slow down or start again, and what they get."""
+"""Placement on servers that fall silent, fail, slow down or restart."""
 
 import objectives_fakes
 import policy_fakes as fakes
@@ -13,12 +13,12 @@
         yield time
 
 
-def test_an_engine_that_breaks_everything_off_does_not_swallow_a_burst(time) -> None:
-    """One of two engines breaks off each run after 20 ms, and a burst fills the other.
+def test_broken_engine_gets_one_probe_at_a_time_in_a_burst(time) -> None:
+    """Guards against an engine that aborts each run at once and attracts all overflow.
 
-    It has free slots all the time. After four of its failures callers are refused, and
-    come back, instead of losing their one run there; one request at a time tries it,
-    and its first good end opens it again.
+    A burst fills the other engine, so the broken one always has free slots. After four
+    failures it gets one probe at a time; other requests are refused and can be retried.
+    Its first successful run ends this.
     """
     bench = objectives_fakes.Bench(time, {"good": 1, "broken": 4})
     bench.demand(name="long", events=400)
@@ -43,11 +43,11 @@
     assert bench.owner.permits()[after] == "broken"
 
 
-def test_a_silent_engine_gets_one_request_at_a_time(time) -> None:
-    """An engine stops answering; its health check and its connections are good.
+def test_silent_engine_gets_one_probe_at_a_time(time) -> None:
+    """Guards against sending work to an engine that hangs with a good health check.
 
-    The first request's event is overdue. What comes then goes elsewhere; after a
-    moment one request tries it, and its first sign of life brings all back.
+    A first event is overdue, so new requests go to the other engine. After a pause one
+    request probes the silent engine, and its first event makes the engine usable again.
     """
     bench = objectives_fakes.Bench(time, {"mute": 9, "b": 9})
     bench.set_speed("mute", 75_000.0, 0.01)
@@ -70,8 +70,8 @@
     assert bench.owner.permits()[back] == "mute"
 
 
-def test_one_long_call_does_not_make_a_plain_service_silent(time) -> None:
-    """One booking takes a second by its nature; the others take 50 ms as ever."""
+def test_one_slow_call_does_not_mark_a_plain_server_silent(time) -> None:
+    """Guards against mistaking one slow call, which may take a second, for silence."""
     bench = objectives_fakes.Bench(time, {"a": 6})
     plain = {"prompt": 0, "events": 0, "pause_ms": 0}
     bench.demand(name="long", **plain)
@@ -82,8 +82,8 @@
     assert bench.owner.permits() == {"long": "a", "next": "a"}
 
 
-def test_a_server_that_fails_quietly_is_the_last_choice(time) -> None:
-    """Its health check is good and it answers half of its requests with an error."""
+def test_failing_server_is_the_last_choice_until_failures_decay(time) -> None:
+    """Its health check passes while it answers half of its requests with an error."""
     bench = objectives_fakes.Bench(time, {"grey": 9, "b": 9})
     bench.set_speed("grey", 75_000.0, 0.01)
     bench.set_speed("b", 75_000.0, 0.02)
@@ -96,15 +96,18 @@
     assert {bench.owner.permits()[name] for name in names} == {"b"}
     for name in names:
         bench.end(name)
-    # It is forgotten after a while: the server may be well again.
+    # The failure decays over time: the server may have recovered.
     time.now += 20.0
     name = bench.demand()
     bench.serve()
     assert bench.owner.permits()[name] == "grey"
 
 
-def test_a_server_that_had_the_request_is_left_out(time) -> None:
-    """One answered with an error; to the others' requests it is as good as before."""
+def test_retry_avoids_servers_already_tried(time) -> None:
+    """A server that answered with an error is avoided by the retry of that request.
+
+    Other requests still use it.
+    """
     bench = objectives_fakes.Bench(time, {"a": 9, "b": 9})
     bench.set_speed("a", 75_000.0, 0.01)
     bench.set_speed("b", 75_000.0, 0.02)
@@ -114,8 +117,8 @@
     assert bench.owner.permits() == {"again": "b", "other": "a"}
 
 
-def test_a_server_started_again_is_another_one(time) -> None:
-    """It has the same name, and nothing of what was learned of it holds."""
+def test_restart_resets_the_estimates_of_a_server(time) -> None:
+    """Guards against estimates from before a restart under the same name."""
     bench = objectives_fakes.Bench(time, {"a": 9})
     bench.set_speed("a", 1_000.0, 1.0)
     old = bench.shard.servers["a"]
@@ -125,7 +128,7 @@
     assert bench.policy._times_of("a").rate == service_times.START_RATE
 
 
-def test_a_server_that_slows_down_is_noticed_by_its_events(time) -> None:
+def test_estimates_follow_a_server_that_slows_down(time) -> None:
     found = service_times.ServiceTimes("a")
     for _ in range(20):
         found.advanced(10, 0.2)
@@ -137,12 +140,12 @@
     assert found.rate < 15_000
 
 
-def test_nobody_is_refused_because_all_servers_fail_alike(time) -> None:
-    """Each of four plain servers fails three in four, several in a row at times.
+def test_no_request_is_refused_because_all_servers_fail_alike(time) -> None:
+    """Guards against refusing requests with free slots when all servers fail alike.
 
-    Each then counts as broken, and there is no sound one to send callers to. Refused,
-    they get nothing while nearly all slots are free; sent on, some are served, and of
-    those that may be repeated more.
+    Each of four plain servers fails three in four requests, at times several in a row,
+    and then counts as broken. There is no healthy server to wait for; granted, some
+    requests succeed, and more of those that may be retried.
     """
     bench = objectives_fakes.Bench(time, {"a": 6, "b": 6, "c": 6, "d": 6})
     plain = {"prompt": 0, "events": 0, "pause_ms": 0}
@@ -154,8 +157,8 @@
         time.now += 0.01
 
 
-def test_a_server_that_alone_breaks_everything_off_is_left_to_its_probes(time) -> None:
-    """One of four servers fails everything; the others fail as ever, one in eight."""
+def test_only_broken_server_of_a_shard_gets_probes_only(time) -> None:
+    """One of four servers fails every request; the others fail one in eight."""
     bench = objectives_fakes.Bench(time, {"a": 6, "b": 6, "c": 6, "broken": 6})
     plain = {"prompt": 0, "events": 0, "pause_ms": 0}
     lost = 0
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what cold servers get, whoever grants and whatever is known of them."""
+"""Slow start: which servers are cold, and the limit on the grants to them."""
 
 import collections
 
@@ -45,21 +45,21 @@
     return fleet.Server(name=name, address="h:1", **found)
 
 
-def _cold() -> slow_start.SlowStart:
+def _slow_start() -> slow_start.SlowStart:
     settings = fakes.settings(cold_excess=EXCESS, cold_slack=SLACK)
     return slow_start.SlowStart(settings)
 
 
-def test_servers_that_were_there_before_the_instance_are_warm(time) -> None:
-    """An instance that restarts must not ration a fleet that has run for hours."""
-    cold = _cold()
+def test_servers_in_the_first_list_are_warm(time) -> None:
+    """Guards against an instance's restart that limits a fleet of warm servers."""
+    cold = _slow_start()
     cold.update(_fleet(e1=_server("e1")))
     assert not cold.is_cold("e1")
 
 
 @pytest.mark.parametrize("fields", [{"started_ms": 2}, {"cold_ms": 3000}])
-def test_a_server_is_cold_after_a_start_and_when_it_says_so(time, fields) -> None:
-    cold = _cold()
+def test_server_is_cold_after_a_restart_or_its_own_report(time, fields) -> None:
+    cold = _slow_start()
     cold.update(_fleet(e1=_server("e1"), e2=_server("e2")))
     cold.update(_fleet(e1=_server("e1", **fields), e2=_server("e2")))
     assert cold.cold_servers() == ["e1"]
@@ -69,16 +69,16 @@
     assert not cold.is_cold("e1")
 
 
-def test_a_new_server_is_cold(time) -> None:
-    cold = _cold()
+def test_server_that_is_added_to_the_list_is_cold(time) -> None:
+    cold = _slow_start()
     cold.update(_fleet(e1=_server("e1")))
     cold.update(_fleet(e1=_server("e1"), e2=_server("e2")))
     assert cold.cold_servers() == ["e2"]
 
 
-def test_an_unchanged_report_does_not_make_a_server_cold_for_longer(time) -> None:
-    """A stale entry that says cold for ever would ration its server for ever."""
-    cold = _cold()
+def test_unchanged_cold_report_does_not_extend_the_cold_time(time) -> None:
+    """Guards against a stale list entry that keeps its server cold indefinitely."""
+    cold = _slow_start()
     cold.update(_fleet(e1=_server("e1", cold_ms=2000)))
     time.now += 1.5
     cold.update(_fleet(e1=_server("e1", cold_ms=2000)))
@@ -86,9 +86,9 @@
     assert not cold.is_cold("e1")
 
 
-def test_an_evacuated_domain_comes_back_cold(time) -> None:
-    """Its servers stood idle; their own report of being cold comes seconds later."""
-    cold = _cold()
+def test_servers_are_cold_after_an_evacuation_ends(time) -> None:
+    """Its servers were idle; their own reports of being cold arrive seconds later."""
+    cold = _slow_start()
     cold.update(_fleet(e1=_server("e1"), e2=_server("e2", domain="leek")))
     cold.update(_fleet(("leek",), e1=_server("e1"), e2=_server("e2", domain="leek")))
     assert not cold.is_cold("e2")
@@ -98,9 +98,9 @@
     assert not cold.is_cold("e2")
 
 
-def test_a_server_that_refused_is_cold_until_well_after_it_answers(time) -> None:
-    """A server that crashed serves again seconds before the list shows its start."""
-    cold = _cold()
+def test_refusing_server_stays_cold_after_its_first_answer(time) -> None:
+    """A crashed server serves again seconds before the list shows its restart."""
+    cold = _slow_start()
     cold.update(_fleet(e1=_server("e1")))
     cold.suspect_restart("e1")
     time.now += COLD_SECONDS
@@ -112,12 +112,13 @@
     assert not cold.is_cold("e1")
 
 
-def test_a_server_that_refused_once_is_not_cold_for_ever(time) -> None:
-    """A keeper that hears few instances grants nothing to cold servers.
+def test_suspicion_of_a_refusing_server_expires(time) -> None:
+    """Guards against a suspicion that never expires.
 
-    None of them could answer then, and the fleet would be left without a server.
+    A keeper that reaches few instances grants nothing to cold servers, so none of them
+    could answer and clear itself, and the fleet would be left without a server.
     """
-    cold = _cold()
+    cold = _slow_start()
     cold.update(_fleet(e1=_server("e1")))
     cold.suspect_restart("e1")
     time.now += COLD_SECONDS + slow_start.REPORT_SECONDS + 0.01
@@ -125,9 +126,9 @@
 
 
 @pytest.mark.parametrize("fields", [{"cold_seconds": 0}, {"cold_seconds": 3.0}])
-def test_a_pool_without_slow_start_has_no_cold_servers(time, fields) -> None:
-    """A time without a rate says that cold servers are slow, not that they crash."""
-    cold = _cold()
+def test_pool_without_slow_start_has_no_cold_servers(time, fields) -> None:
+    """A cold time without a rate means that cold servers are slow, not fragile."""
+    cold = _slow_start()
     pool = fleet.Pool(servers=[_server("e1")], **fields)
     text = _fleet()
     text.pools["engines"] = pool
@@ -143,7 +144,7 @@
 
     def __init__(self, time: fakes.Time, slots: tuple[int, int] = (8, 8)):
         super().__init__(time, dict(zip(SERVERS, slots, strict=True)))
-        self.cold = _cold()
+        self.cold = _slow_start()
         self.cold.update(_fleet(e1=_server("e1"), e2=_server("e2")))
         self.cold.update(_fleet(e1=_server("e1", started_ms=2), e2=_server("e2")))
         self.shard.cold_budgets = slow_start.ColdBudgets(self.cold)
@@ -152,13 +153,13 @@
         assert not self.shard.cold_budgets.allows("e1")
 
     def granted(self, server: str) -> list[str]:
-        """Return the requests that a server got."""
+        """Return the requests that were granted on a server."""
         permits = self.owner.permits()
         return [name for name, found in permits.items() if found == server]
 
 
-def test_a_returned_server_with_free_slots_gets_few_requests_in_a_second(time) -> None:
-    """All that waits at a peak would go to the free slots of whoever just came back."""
+def test_cold_server_with_free_slots_stays_within_its_rate(time) -> None:
+    """Guards against sending the whole queue to a restarted server's free slots."""
     site = Site(time, slots=(50, 1))
     for _ in range(100):
         for _ in range(2):
@@ -173,10 +174,10 @@
     assert len(site.granted("e2")) >= 90
 
 
-def test_a_queue_is_not_kept_waiting_for_slots_that_cannot_be_used(time) -> None:
-    """Seen by its free slots a cold server would promise room to all who wait.
+def test_forecast_does_not_count_unusable_slots_of_cold_servers(time) -> None:
+    """Guards against forecasts that count all free slots of a cold server as usable.
 
-    Those who cannot be in time must be told so at once, not when their time is over.
+    Demands that cannot be in time must be shed at once, not when they are late.
     """
     site = Site(time)
     site.shard.closed_servers.add("e2")
@@ -187,8 +188,8 @@
     assert len(site.shard.queue) + len(site.granted("e1")) <= BOUND
 
 
-def test_a_permit_for_a_cold_server_is_soon_over(time) -> None:
-    """Permits that are used a second late would arrive together with later ones."""
+def test_permit_for_a_cold_server_has_a_short_lifetime(time) -> None:
+    """Guards against permits used a second late, together with those of that second."""
     site = Site(time)
     site.shard.closed_servers.add("e2")
     time.now += 0.2
@@ -220,13 +221,14 @@
 
 @hypothesis.given(EVENTS)
 @hypothesis.settings(deadline=None, max_examples=200)
-def test_no_schedule_of_keepers_passes_the_bound_of_a_cold_server(events) -> None:
-    """Two keepers at once, keepers in both parts of a partition, keepers that restart.
+def test_no_schedule_of_keepers_exceeds_the_limit_of_a_cold_server(events) -> None:
+    """Two concurrent keepers, keepers in both parts of a partition, keeper restarts.
 
-    Each grants all it can, and permits are used at the worst moment of their life.
+    Each keeper grants all it can, and permits are used at the worst time of their
+    lifetime.
     """
     with fakes.Time().used() as time:
-        cold = _cold()
+        cold = _slow_start()
         cold.update(_fleet(e1=_server("e1")))
         cold.update(_fleet(e1=_server("e1", started_ms=2)))
         keepers = [Keeper(cold), Keeper(cold)]
@@ -248,8 +250,8 @@
                 keeper.cold_budgets.granted("e1", 1500)
                 granted.append(time.now)
             cold.suspect_restart("e1")
-        # A permit may be used at any moment of its life, so those of that much more
-        # than a second may all arrive within one.
+        # A permit may be used at any time of its lifetime, so the permits of a span
+        # that is longer by one lifetime may all arrive within one second.
         span = 1.0 + slow_start.PERMIT_MS / 1000.0
         worst = collections.Counter()
         for first in granted:
@@ -257,8 +259,8 @@
         assert max(worst.values(), default=0) <= BOUND
 
 
-def test_a_shard_that_is_closed_begins_with_empty_rations(time) -> None:
-    """What the keeper before has granted is not known to the next one."""
+def test_closed_shard_restarts_with_empty_cold_budgets(time) -> None:
+    """A new keeper does not know the grants of the previous one."""
     site = Site(time)
     time.now += 1.0
     assert site.shard.cold_budgets.allows("e1")
@@ -266,7 +268,7 @@
     assert not site.shard.cold_budgets.allows("e1")
 
 
-def test_a_refused_connection_makes_a_server_cold(time) -> None:
+def test_refused_connection_makes_a_server_cold(time) -> None:
     site = Site(time)
     time.now += COLD_SECONDS + 1.0
     assert not site.cold.is_cold("e2")
@@ -274,13 +276,13 @@
     assert site.cold.is_cold("e2")
 
 
-def test_shards_need_no_slow_start() -> None:
+def test_shard_without_slow_start_allows_any_server() -> None:
     found = shards.Shard(fakes.SHARD, fakes.settings())
     assert found.cold_budgets.allows("anything")
 
 
-def test_changed_settings_bind_from_the_next_list_on(time) -> None:
-    cold = _cold()
+def test_changed_settings_apply_from_the_next_server_list(time) -> None:
+    cold = _slow_start()
     cold.update(_fleet(e1=_server("e1")))
     before = cold.flow("e1")
     cold.adopt(fakes.settings(cold_excess=EXCESS, cold_slack=0.0))
