--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -19,7 +19,7 @@
     code = "peer"
 
 
-class FrameFault(PeerError):
+class InvalidFrame(PeerError):
     """A peer sent something that is not a message."""
 
     code = "peer_frame"
--- a/packages/daemon/cassiaquay_daemon/links/frames.py
+++ b/packages/daemon/cassiaquay_daemon/links/frames.py
@@ -29,7 +29,7 @@
 
         Raises
         ------
-        FrameFault
+        InvalidFrame
             When the bytes are no message; the connection is of no use after that.
         """
         found = []
@@ -37,22 +37,22 @@
             self._unpacker.feed(data)
             for frame in self._unpacker:
                 found.append(_message(frame))
-        except exceptions.FrameFault:
+        except exceptions.InvalidFrame:
             raise
         except Exception as error:
             # msgpack raises a dozen kinds for bad bytes; whichever it is, a peer
             # that sends garbage may only lose its own connection.
-            raise exceptions.FrameFault(str(error)) from error
+            raise exceptions.InvalidFrame(str(error)) from error
         return found
 
 
 def _message(frame: object) -> messages.Message:
     if not isinstance(frame, list) or not frame or not isinstance(frame[0], int):
-        raise exceptions.FrameFault("not an array that begins with a code")
+        raise exceptions.InvalidFrame("not an array that begins with a code")
     kind = messages.BY_CODE.get(frame[0])
     if kind is None:
-        raise exceptions.FrameFault(f"no message has code {frame[0]}")
+        raise exceptions.InvalidFrame(f"no message has code {frame[0]}")
     try:
         return msgspec.convert(frame[1:], kind)
     except msgspec.ValidationError as error:
-        raise exceptions.FrameFault(f"{kind.__name__}: {error}") from error
+        raise exceptions.InvalidFrame(f"{kind.__name__}: {error}") from error
--- a/packages/daemon/cassiaquay_daemon/links/peers.py
+++ b/packages/daemon/cassiaquay_daemon/links/peers.py
@@ -290,7 +290,7 @@
             for message in found:
                 handler = self._handlers.get(type(message))
                 if handler is None:
-                    raise exceptions.FrameFault(f"unexpected {type(message).__name__}")
+                    raise exceptions.InvalidFrame(f"unexpected {type(message).__name__}")
                 handler(link, message)
 
     def _close(self, link: Link) -> None:
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -69,7 +69,7 @@
         data = msgpack.packb([content[0], *content[1]])
     try:
         found = frames.Decoder().feed(data)
-    except exceptions.FrameFault:
+    except exceptions.InvalidFrame:
         return
     for message in found:
         assert type(message) in messages.CODES
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -365,7 +365,7 @@
 
 def test_a_frame_that_is_no_message_is_a_fault() -> None:
     decoder = frames.Decoder()
-    with pytest.raises(exceptions.FrameFault):
+    with pytest.raises(exceptions.InvalidFrame):
         decoder.feed(b"\x93\x04\xa1x\x01")
 
 
