--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -25,7 +25,7 @@
     code = "peer_frame"
 
 
-class ProofFault(PeerError):
+class PeerAuthenticationFailed(PeerError):
     """A peer does not know the shared key."""
 
     code = "peer_proof"
