--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -37,7 +37,7 @@
     code = "platform"
 
 
-class KeeperSilent(DaemonError):
+class KeeperUnresponsive(DaemonError):
     """The keeper of a shard gives no sign of life."""
 
     code = "keeper_silent"
--- a/packages/daemon/cassiaquay_daemon/gateway/admission.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/admission.py
@@ -105,7 +105,7 @@
             permission = await self._demands.obtain(
                 demand, call.deadline, demands.PATIENCE_SECONDS
             )
-        except exceptions.KeeperSilent:
+        except exceptions.KeeperUnresponsive:
             return self._alone(call, demand)
         demand = demand._replace(shard=permission.shard)
         server = call.snapshot.open_server(call.service, permission.server)
--- a/packages/daemon/cassiaquay_daemon/keepers/demands.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/demands.py
@@ -144,7 +144,7 @@
         deadline : float
             Seconds on this clock.
         patience : float, optional
-            Raise KeeperSilent when the keeper gives no sign for so many seconds.
+            Raise KeeperUnresponsive when the keeper gives no sign for so many seconds.
         """
         future: asyncio.Future[Permission] = asyncio.get_running_loop().create_future()
         demand = self._estimated(demand)
@@ -156,7 +156,7 @@
             if patience is not None:
                 await self._watch(demand.id, patience)
             return await future
-        except (asyncio.CancelledError, exceptions.KeeperSilent):
+        except (asyncio.CancelledError, exceptions.KeeperUnresponsive):
             self.give_back(self._pending[demand.id].demand)
             raise
         finally:
@@ -232,7 +232,7 @@
                 self._report(shard)
 
     async def _watch(self, name: str, patience: float) -> None:
-        """Return with the answer; raise KeeperSilent when nobody gives a sign."""
+        """Return with the answer; raise KeeperUnresponsive when nobody gives a sign."""
         future = self._pending[name].future
         while True:
             renewed_at = clock.now()
@@ -240,7 +240,7 @@
             if done:
                 return
             if self._signs.get(name, 0.0) < renewed_at:
-                raise exceptions.KeeperSilent(self._pending[name].demand.shard)
+                raise exceptions.KeeperUnresponsive(self._pending[name].demand.shard)
             done, _ = await asyncio.wait([future], timeout=PROBE_SECONDS - patience)
             if done:
                 return
