--- a/packages/daemon/cassiaquay_daemon/adapters/backends.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/backends.py
@@ -174,7 +174,7 @@
                 await _check(response)
                 answer.open()
                 return await _read(response, answer)
-        except exceptions.StreamCut:
+        except exceptions.StreamInterrupted:
             pass
         except aiohttp.ClientConnectorError as error:
             raise exceptions.NotSent(str(error)) from error
@@ -223,11 +223,11 @@
     ) -> Figures:
         # Reading a held stream again is no second dispatch: the engine knows the id
         # and neither prefills nor generates anew.
-        kind: type[exceptions.StreamCut] = exceptions.StreamCut
+        kind: type[exceptions.StreamInterrupted] = exceptions.StreamInterrupted
         for _ in range(RESUME_TRIES):
             try:
                 return await self.resume(server, key, answer)
-            except exceptions.StreamCut as error:
+            except exceptions.StreamInterrupted as error:
                 kind = type(error)
                 await asyncio.sleep(RESUME_PAUSE)
         raise kind(f"the stream of {server.name} broke off for good")
@@ -298,7 +298,7 @@
         raise exceptions.Declined(message)
     if response.status == 409:
         # The engine knows the id: read what it holds rather than run it again.
-        raise exceptions.StreamCut(message)
+        raise exceptions.StreamInterrupted(message)
     raise exceptions.Rejected(message)
 
 
@@ -313,16 +313,16 @@
                 return _figures(payload, answer)
             if head != b"id: %d" % answer.count:
                 # A gap or a repeat would make the answer another one.
-                raise exceptions.StreamCut(f"event out of order: {head[:40]!r}")
+                raise exceptions.StreamInterrupted(f"event out of order: {head[:40]!r}")
             answer.append(payload)
-    raise exceptions.StreamCut("the stream ended without its last event")
+    raise exceptions.StreamInterrupted("the stream ended without its last event")
 
 
 def _figures(payload: bytes, answer: answers.Answer) -> Figures:
     try:
         done = msgspec.json.decode(payload, type=_DoneBody)
     except msgspec.DecodeError as error:
-        raise exceptions.StreamCut(str(error)) from error
+        raise exceptions.StreamInterrupted(str(error)) from error
     if done["count"] != answer.count:
-        raise exceptions.StreamCut(f"{answer.count} events of {done['count']}")
+        raise exceptions.StreamInterrupted(f"{answer.count} events of {done['count']}")
     return Figures(done["prompt_tokens"], done["cached_tokens"], answer.count)
--- a/packages/daemon/cassiaquay_daemon/adapters/breaks.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/breaks.py
@@ -5,12 +5,12 @@
 from .. import exceptions
 
 
-def cut(error: Exception) -> exceptions.StreamCut:
+def cut(error: Exception) -> exceptions.StreamInterrupted:
     """Return the error that an error of the HTTP client stands for."""
     if isinstance(error, TimeoutError):
-        return exceptions.StreamCut(repr(error))
+        return exceptions.StreamInterrupted(repr(error))
     if isinstance(error, (aiohttp.ClientPayloadError, OSError)):
         return exceptions.ConnectionBroken(repr(error))
     if isinstance(error, aiohttp.ServerDisconnectedError):
         return exceptions.ConnectionBroken(repr(error))
-    return exceptions.StreamCut(repr(error))
+    return exceptions.StreamInterrupted(repr(error))
--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -73,13 +73,13 @@
     code = "backend_rejected"
 
 
-class StreamCut(BackendError):
+class StreamInterrupted(BackendError):
     """The answer broke off, or never began, after the request was sent."""
 
     code = "backend_cut"
 
 
-class ConnectionBroken(StreamCut):
+class ConnectionBroken(StreamInterrupted):
     """The server closed or reset the connection in the middle of a request."""
 
     code = "backend_broken"
--- a/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
@@ -78,7 +78,7 @@
             There is no connection; no byte was written.
         Declined
             The server says that it did not run the request.
-        StreamCut
+        StreamInterrupted
             It may have run.
         """
         pairs = headers.towards_server(
@@ -123,24 +123,24 @@
         if found.get(headers.ATTEMPT.decode(), "") != call.facts.attempt:
             # Bytes of another request, or of none: a late second answer on a kept
             # connection would give this caller another one's answer.
-            raise exceptions.StreamCut("the answer is not of this request")
+            raise exceptions.StreamInterrupted("the answer is not of this request")
         return Answer(response, response.status, headers.towards_caller(found.items()))
 
 
 async def read_whole(answer: Answer) -> bytes:
-    """Return the body of an answer; raise StreamCut when it breaks off."""
+    """Return the body of an answer; raise StreamInterrupted when it breaks off."""
     parts = []
     size = 0
     async for part in read(answer):
         parts.append(part)
         size += len(part)
         if size > MOST_ANSWER_BYTES:
-            raise exceptions.StreamCut("the answer is too large")
+            raise exceptions.StreamInterrupted("the answer is too large")
     return b"".join(parts)
 
 
 async def read(answer: Answer) -> collections.abc.AsyncIterator[bytes]:
-    """Yield the body as it comes; raise StreamCut when it breaks off."""
+    """Yield the body as it comes; raise StreamInterrupted when it breaks off."""
     try:
         async for part in answer.response.content.iter_any():
             yield part
--- a/packages/daemon/cassiaquay_daemon/gateway/passing.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/passing.py
@@ -18,7 +18,7 @@
     body = await forwarding.read_whole(answer)
     if known.started:
         # A stream that the caller has a part of cannot go on with other bytes.
-        raise exceptions.StreamCut(f"status {answer.status} for the rest of a stream")
+        raise exceptions.StreamInterrupted(f"status {answer.status} for the rest of a stream")
     pairs = replies.without_length(answer.headers)
     pairs.append((b"content-length", str(len(body)).encode()))
     known.started = True
@@ -33,7 +33,7 @@
     reply: replies.Replies,
     send: replies.Send,
 ) -> None:
-    """Pass events on as they come; raise StreamCut when the stream breaks off."""
+    """Pass events on as they come; raise StreamInterrupted when the stream breaks off."""
     splitter = events.Splitter()
     if not known.started:
         known.started = True
@@ -42,7 +42,7 @@
     async for data in forwarding.read(answer):
         found = splitter.feed(data)
         if splitter.is_over:
-            raise exceptions.StreamCut("an event is too long")
+            raise exceptions.StreamInterrupted("an event is too long")
         if not found.number:
             continue
         _check_order(known, found)
@@ -51,7 +51,7 @@
             known.last_event = found.last
         await send(replies.part(found.data, True))
     if not splitter.is_empty:
-        raise exceptions.StreamCut("the stream ends within an event")
+        raise exceptions.StreamInterrupted("the stream ends within an event")
     await send(replies.part(b"", False))
 
 
@@ -61,4 +61,4 @@
     if events.NO_EVENT in (found.first, known.last_event):
         return
     if found.first != known.last_event + 1:
-        raise exceptions.StreamCut(f"event {found.first} after {known.last_event}")
+        raise exceptions.StreamInterrupted(f"event {found.first} after {known.last_event}")
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -144,11 +144,11 @@
                     server=known.server,
                     cause=f"status {error}",
                 )
-            except exceptions.StreamCut as error:
+            except exceptions.StreamInterrupted as error:
                 self._check_repeat(known, error)
 
     def _check_repeat(
-        self, known: progress.Progress, error: exceptions.StreamCut
+        self, known: progress.Progress, error: exceptions.StreamInterrupted
     ) -> None:
         """Return when the request may be sent to another server; raise otherwise."""
         call = known.call
@@ -205,7 +205,7 @@
         except exceptions.Unreachable:
             known.refused.append(ticket.server.name)
             raise
-        except (exceptions.StreamCut, _FailedOnce) as error:
+        except (exceptions.StreamInterrupted, _FailedOnce) as error:
             outcome = "failed" if isinstance(error, _FailedOnce) else "cut"
             known.tried.append(ticket.server.name)
             raise
--- a/packages/daemon/cassiaquay_daemon/owners/recovery.py
+++ b/packages/daemon/cassiaquay_daemon/owners/recovery.py
@@ -116,7 +116,7 @@
                 await backend.resume(server, key, answer)
                 answer.finish("completed", "completed")
                 return
-            except exceptions.StreamCut as error:
+            except exceptions.StreamInterrupted as error:
                 cause = str(error)
                 if not answer.opened:
                     break
--- a/tests/owner_fakes.py
+++ b/tests/owner_fakes.py
@@ -84,7 +84,7 @@
 
 async def cut(answer: answers.Answer) -> None:
     answer.append(b'{"text":"a"}')
-    raise exceptions.StreamCut("cut")
+    raise exceptions.StreamInterrupted("cut")
 
 
 async def broken(answer: answers.Answer) -> None:
--- a/tests/test_owner_schedules.py
+++ b/tests/test_owner_schedules.py
@@ -72,7 +72,7 @@
             raise exceptions.Declined(key)
         answer.append(key.encode())
         if end == "cut":
-            raise exceptions.StreamCut(key)
+            raise exceptions.StreamInterrupted(key)
         if end == "rejected":
             raise exceptions.Rejected(key)
 
