--- a/packages/daemon/cassiaquay_daemon/adapters/backends.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/backends.py
@@ -195,7 +195,7 @@
         try:
             async with request as response:
                 if response.status == 404:
-                    raise exceptions.StreamMissing(key)
+                    raise exceptions.StreamNotFound(key)
                 await _check(response)
                 answer.open()
                 return await _read(response, answer)
@@ -282,7 +282,7 @@
         self, server: fleet.Server, key: str, answer: answers.Answer
     ) -> Figures:
         """Plain services hold nothing."""
-        raise exceptions.StreamMissing(key)
+        raise exceptions.StreamNotFound(key)
 
     async def cancel(self, server: fleet.Server, key: str) -> Waste | None:
         """Plain services cannot be stopped."""
--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -85,7 +85,7 @@
     code = "backend_broken"
 
 
-class StreamMissing(BackendError):
+class StreamNotFound(BackendError):
     """The backend server does not hold the stream that was asked for."""
 
     code = "backend_missing"
--- a/packages/daemon/cassiaquay_daemon/owners/dispatching.py
+++ b/packages/daemon/cassiaquay_daemon/owners/dispatching.py
@@ -19,7 +19,7 @@
 # caller was told "unknown", so that its outcome can be asked for later.
 SETTLE_SECONDS = 60.0
 # The connection is broken for good, or the engine has restarted without the stream.
-SERVER_CRASHED = (exceptions.ConnectionBroken, exceptions.StreamMissing)
+SERVER_CRASHED = (exceptions.ConnectionBroken, exceptions.StreamNotFound)
 
 
 class Capacity(typing.Protocol):
--- a/tests/owner_fakes.py
+++ b/tests/owner_fakes.py
@@ -116,7 +116,7 @@
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
     ) -> backends.Figures:
-        raise exceptions.StreamMissing(key)
+        raise exceptions.StreamNotFound(key)
 
     async def cancel(self, server: fleet.Server, key: str) -> backends.Waste | None:
         self._servers.stopped.append(key)
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -248,7 +248,7 @@
             async def resume(self, server, key, answer) -> backends.Figures:
                 calls.append(server.name)
                 if server.name != "e-2":
-                    raise exceptions.StreamMissing(key)
+                    raise exceptions.StreamNotFound(key)
                 answer.open()
                 await prefilled.wait()
                 answer.append(b'{"text":"a"}')
