--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -91,7 +91,7 @@
     code = "backend_missing"
 
 
-class Overslept(NotSent):
+class StaleAfterPause(NotSent):
     """A woken process must first learn anew what is true."""
 
     code = "backend_overslept"
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -255,7 +255,7 @@
         call = known.call
         self._check_quarantine(known)
         if not self._parts.pauses.current:
-            raise exceptions.Overslept("this process was paused")
+            raise exceptions.StaleAfterPause("this process was paused")
         if clock.now() >= min(ticket.expires_at, call.deadline):
             raise exceptions.NotSent("the permit has expired")
         snapshot = self._parts.configured.current
--- a/packages/daemon/cassiaquay_daemon/owners/dispatching.py
+++ b/packages/daemon/cassiaquay_daemon/owners/dispatching.py
@@ -131,7 +131,7 @@
             try:
                 await self._dispatch(entry, demand, permission, server)
                 return
-            except exceptions.Overslept:
+            except exceptions.StaleAfterPause:
                 # Nothing is wrong with the server: it may be chosen again.
                 self._capacity.give_back(demand)
                 await asyncio.sleep(NOT_SENT_PAUSE)
@@ -212,7 +212,7 @@
         if entry.ended or entry.state is not entries.State.WAITING:
             raise exceptions.NotSent("ended meanwhile")
         if self.pauses is not None and not self.pauses.current:
-            raise exceptions.Overslept("this process was paused")
+            raise exceptions.StaleAfterPause("this process was paused")
         if not entry.readers:
             raise exceptions.NotSent("no caller is connected")
         if clock.now() >= min(permission.expires_at, entry.deadline):
