--- a/packages/daemon/cassiaquay_daemon/engines/engine_orders.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_orders.py
@@ -22,7 +22,7 @@
         """Return what an engine has; raise BackendError when it does not say."""
 
     async def send(self, server: fleet.Server, order: orders.Order) -> str:
-        """Send an order; raise OutrankedOrder when a newer one was obeyed."""
+        """Send an order; raise SupersededOrder when a newer one was obeyed."""
 
 
 protocols: registry.Registry[type[EngineOrders]] = registry.Registry("order protocol")
@@ -72,7 +72,7 @@
         data = msgspec.json.encode(order._asdict())
         status, body = await self._call("POST", server, "/v1/orders", data)
         if status == 409:
-            raise exceptions.OutrankedOrder(f"{server.name}: {body[:200]!r}")
+            raise exceptions.SupersededOrder(f"{server.name}: {body[:200]!r}")
         if status != 200:
             raise exceptions.BackendError(f"{server.name}: status {status}")
         try:
--- a/packages/daemon/cassiaquay_daemon/engines/reconciler.py
+++ b/packages/daemon/cassiaquay_daemon/engines/reconciler.py
@@ -241,7 +241,7 @@
         self._sent[name] = _Sent(order, clock.now())
         try:
             state = await place.protocol.send(place.server, order)
-        except exceptions.OutrankedOrder as error:
+        except exceptions.SupersededOrder as error:
             logs.trouble("order_outranked", server=name, cause=str(error))
             return
         except exceptions.BackendError as error:
--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -97,7 +97,7 @@
     code = "backend_overslept"
 
 
-class OutrankedOrder(BackendError):
+class SupersededOrder(BackendError):
     """The engine has obeyed an order with a higher fencing number."""
 
     code = "order_outranked"
