--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -241,7 +241,7 @@
     status = http.HTTPStatus.FORBIDDEN
 
 
-class RefusedBefore(Refusal):
+class PreviouslyRefused(Refusal):
     """The request was refused before and stays refused."""
 
     code = "refused_before"
--- a/packages/daemon/cassiaquay_daemon/owners/tombstones.py
+++ b/packages/daemon/cassiaquay_daemon/owners/tombstones.py
@@ -42,7 +42,7 @@
         if self.outcome == "failed":
             return exceptions.BackendFailed("it failed before", code=self.code)
         if self.outcome == "not_run":
-            return exceptions.RefusedBefore(code=self.code)
+            return exceptions.PreviouslyRefused(code=self.code)
         return exceptions.OutcomeUnknown(code=self.code)
 
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -71,7 +71,7 @@
         with pytest.raises(exceptions.Refusal) as caught:
             bench.submit(name, **body)
         assert caught.value.outcome == "not_run"
-        with pytest.raises(exceptions.RefusedBefore) as again:
+        with pytest.raises(exceptions.PreviouslyRefused) as again:
             bench.submit(name)
         assert again.value.code == caught.value.code
         assert not bench.servers.seen
@@ -91,7 +91,7 @@
         assert bench.owner.outcome(name, "questions").state == "unseen"
         told = await bench.owner.cancel(name, "questions")
         assert (told.outcome, told.state) == ("not_run", "refused")
-        with pytest.raises(exceptions.RefusedBefore):
+        with pytest.raises(exceptions.PreviouslyRefused):
             bench.submit(name)
         assert bench.owner.outcome(name, "questions") == told
         assert not bench.servers.seen
@@ -154,7 +154,7 @@
             bench.submit(names[0])
         with pytest.raises(exceptions.TokenExpired):
             bench.submit(bench.new_id(seconds=50.5))
-        with pytest.raises(exceptions.RefusedBefore):
+        with pytest.raises(exceptions.PreviouslyRefused):
             bench.submit(names[1])
         assert not bench.servers.seen
 
