--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -247,7 +247,7 @@
     code = "refused_before"
 
 
-class Leaving(Refusal):
+class InstanceLeaving(Refusal):
     """The instance is shutting down."""
 
     code = "instance_leaving"
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -134,7 +134,7 @@
             accepted = requests.accept(request_id, team, data, snapshot)
             accepted = dependencies.inherit(accepted, self.table)
             if self.leaving:
-                raise exceptions.Leaving(address=self._better_address())
+                raise exceptions.InstanceLeaving(address=self._better_address())
             self.held.make_room(accepted.rank, self._give_up)
         except exceptions.Refusal as refusal:
             # "Not run" holds for ever only when a late copy finds the id closed: what
@@ -224,7 +224,7 @@
         """Hand waiting requests back, and return when the others have been read."""
         self.leaving = True
         for entry in self.held.waiting():
-            self._give_up(entry, exceptions.Leaving(address=self._better_address()))
+            self._give_up(entry, exceptions.InstanceLeaving(address=self._better_address()))
         while self._running():
             await asyncio.wait(self._running())
         end = clock.now() + UNREAD_SECONDS
--- a/packages/dev/cassiaquay_dev/trials/checker.py
+++ b/packages/dev/cassiaquay_dev/trials/checker.py
@@ -117,7 +117,7 @@
     found = []
     ended = {event.id for event in seen.of(history.Ended)}
     stops = [(event.instance, event.at) for event in seen.of(history.Stopped)]
-    for leaving in seen.of(history.Leaving):
+    for leaving in seen.of(history.InstanceLeaving):
         ends = [at for name, at in stops if name == leaving.instance]
         if not [at for at in ends if at >= leaving.at]:
             found.append(f"{leaving.instance} never ended its planned stop")
@@ -133,7 +133,7 @@
     return found
 
 
-def _life_of(seen: history.History, leaving: history.Leaving) -> float:
+def _life_of(seen: history.History, leaving: history.InstanceLeaving) -> float:
     begun = 0.0
     for event in seen.of(history.Started):
         if event.instance == leaving.instance and event.at <= leaving.at:
@@ -143,7 +143,7 @@
 
 def _cut_while_leaving(seen: history.History) -> list[str]:
     found = []
-    for leaving in seen.of(history.Leaving):
+    for leaving in seen.of(history.InstanceLeaving):
         for event in seen.of(history.Ended):
             if event.instance != leaving.instance or event.at < leaving.at:
                 continue
--- a/packages/dev/cassiaquay_dev/trials/history.py
+++ b/packages/dev/cassiaquay_dev/trials/history.py
@@ -100,7 +100,7 @@
     revision: int
 
 
-class Leaving(typing.NamedTuple):
+class InstanceLeaving(typing.NamedTuple):
     """A daemon began its planned stop."""
 
     at: float
@@ -146,7 +146,7 @@
     | ServerLeaving
     | Started
     | InForce
-    | Leaving
+    | InstanceLeaving
     | Stopped
     | Granted
     | Shed
@@ -272,7 +272,7 @@
     if name == "configuration_in_force":
         return InForce(at, instance, fields["revision"])
     if name == "leaving":
-        return Leaving(at, instance)
+        return InstanceLeaving(at, instance)
     if name == "stopped":
         return Stopped(at, instance)
     if name == "granted":
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -24,7 +24,7 @@
         history.InForce(3.0, "cq-1", 2),
         history.Granted(3.0, "cq-1", "engines#0", "t~1", 0),
         history.Shed(3.1, "cq-1", "engines#0", "t~2", 3, "shed_overload", 1.0),
-        history.Leaving(4.0, "cq-1"),
+        history.InstanceLeaving(4.0, "cq-1"),
         history.Stopped(5.0, "cq-1"),
     ]
 )
@@ -73,7 +73,7 @@
         "planned_stops_cut_nothing",
         [history.Ended(4.5, "cq-1", "t~6", "outcome_unknown", "stopped_while_running")],
     ),
-    ("planned_stops_cut_nothing", [history.Leaving(6.0, "cq-2")]),
+    ("planned_stops_cut_nothing", [history.InstanceLeaving(6.0, "cq-2")]),
     ("configuration_monotone", [history.InForce(3.5, "cq-1", 1)]),
     (
         "configuration_monotone",
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -429,7 +429,7 @@
         leaving = asyncio.create_task(bench.owner.leave())
         final = await owner_fakes.ended(waiting)
         assert (final["code"], final["address"]) == ("instance_leaving", "127.0.0.1:9")
-        with pytest.raises(exceptions.Leaving):
+        with pytest.raises(exceptions.InstanceLeaving):
             bench.submit(bench.new_id())
         assert not leaving.done()
         finish.set()
