--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -260,7 +260,7 @@
     status = http.HTTPStatus.SERVICE_UNAVAILABLE
 
 
-class CallerGone(Refusal):
+class CallerDisconnected(Refusal):
     """The caller's connection was gone for longer than the grace time."""
 
     code = "caller_gone"
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -277,7 +277,7 @@
 
     def _abandon(self, entry: entries.Entry) -> None:
         if entry.state is entries.State.WAITING:
-            self._give_up(entry, exceptions.CallerGone())
+            self._give_up(entry, exceptions.CallerDisconnected())
             return
         if entry.accepted.service_settings.on_disconnect == "finish":
             return
