--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -379,7 +379,7 @@
     code = "cancelled_running"
 
 
-class CallerGoneRunning(OutcomeUnknown):
+class CallerDisconnectedWhileRunning(OutcomeUnknown):
     """The caller's connection was gone for longer than the grace time."""
 
     code = "caller_gone_running"
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -284,7 +284,7 @@
         if not self._dispatcher.can_stop(entry):
             return
         if entry.stop_reason is None and entry.task is not None:
-            entry.stop_reason = exceptions.CallerGoneRunning()
+            entry.stop_reason = exceptions.CallerDisconnectedWhileRunning()
             entry.task.cancel()
 
     def _give_up(self, entry: entries.Entry, refusal: exceptions.Refusal) -> None:
