--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -373,7 +373,7 @@
     status = http.HTTPStatus.CONFLICT
 
 
-class CancelledRunning(OutcomeUnknown):
+class CancelledWhileRunning(OutcomeUnknown):
     """The caller gave the request up while it ran."""
 
     code = "cancelled_running"
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -197,7 +197,7 @@
             return entry.told
         if not self._dispatcher.can_stop(entry):
             return entry.told
-        await self._stop(entry, exceptions.CancelledRunning())
+        await self._stop(entry, exceptions.CancelledWhileRunning())
         return entry.told
 
     async def sweep(self) -> None:
