--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -298,7 +298,7 @@
     code = "token_expired"
 
 
-class OwnerGone(OutcomeUnknown):
+class OwnerLost(OutcomeUnknown):
     """The owner is gone and no engine holds the stream."""
 
     code = "owner_gone"
--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -197,7 +197,7 @@
         key = requests.key_of(call.id, call.team)
         if call.request.url.path.endswith("/cancel"):
             await self._recovery.cancel(key, call.snapshot, service)
-            raise exceptions.OwnerGone()
+            raise exceptions.OwnerLost()
         found = await self._recovery.find(key, call.snapshot, service)
         if call.request.method == "DELETE":
             # The engine forgets the stream in its own time.
--- a/packages/daemon/cassiaquay_daemon/owners/recovery.py
+++ b/packages/daemon/cassiaquay_daemon/owners/recovery.py
@@ -52,7 +52,7 @@
     async def find(
         self, key: str, snapshot: snapshots.Snapshot, service: str
     ) -> Recovered:
-        """Return the stream known as ``key``; raise OwnerGone when nobody holds it."""
+        """Return the stream known as ``key``; raise OwnerLost when nobody holds it."""
         self._forget()
         known = self._found.get(key)
         if known is not None and known.refusal is None:
@@ -70,7 +70,7 @@
                 task.cancel()
         if found is None:
             self.not_found += 1
-            raise exceptions.OwnerGone()
+            raise exceptions.OwnerLost()
         self.recovered += 1
         logs.event("recovered", key=key)
         self._found[key] = found
