--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -316,7 +316,7 @@
     code = "deadline_exceeded"
 
 
-class AnswerForgotten(Refusal):
+class AnswerExpired(Refusal):
     """The request completed; its answer is not kept any more."""
 
     code = "answer_forgotten"
--- a/packages/daemon/cassiaquay_daemon/owners/streams.py
+++ b/packages/daemon/cassiaquay_daemon/owners/streams.py
@@ -124,7 +124,7 @@
             self._delivered = True
             return
         if answer.forgotten and after < answer.count:
-            await RefusalResponse(exceptions.AnswerForgotten())(scope, receive, send)
+            await RefusalResponse(exceptions.AnswerExpired())(scope, receive, send)
             return
         await _start(send, 200, [(b"content-type", EVENT_STREAM)])
         while True:
--- a/packages/daemon/cassiaquay_daemon/owners/tombstones.py
+++ b/packages/daemon/cassiaquay_daemon/owners/tombstones.py
@@ -38,7 +38,7 @@
     def refusal(self) -> exceptions.Refusal:
         """Return what a caller is told that asks for the answer again."""
         if self.outcome == "completed":
-            return exceptions.AnswerForgotten()
+            return exceptions.AnswerExpired()
         if self.outcome == "failed":
             return exceptions.BackendFailed("it failed before", code=self.code)
         if self.outcome == "not_run":
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -127,7 +127,7 @@
         bench.owner.acknowledge(name, "questions")
         assert not bench.owner.held.entries
         assert bench.owner.held.ledger.used == 0
-        with pytest.raises(exceptions.AnswerForgotten):
+        with pytest.raises(exceptions.AnswerExpired):
             bench.submit(name)
         assert bench.owner.outcome(name, "questions").outcome == "completed"
         with pytest.raises(exceptions.Forbidden):
@@ -206,7 +206,7 @@
         bench.owner.sweep_once()
         assert bench.owner.held.ledger.used <= 1024
         assert bench.owner.find(entries[0].accepted.id, "questions") is entries[0]
-        with pytest.raises(exceptions.AnswerForgotten):
+        with pytest.raises(exceptions.AnswerExpired):
             bench.owner.find(entries[1].accepted.id, "questions")
 
     run(work())
