--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -338,7 +338,7 @@
     code = "bad_query"
 
 
-class WrongType(CallRejected):
+class UnsupportedContentType(CallRejected):
     """The body is not of the type application/json."""
 
     code = "wrong_content_type"
--- a/packages/daemon/cassiaquay_daemon/interface/bodies.py
+++ b/packages/daemon/cassiaquay_daemon/interface/bodies.py
@@ -27,7 +27,7 @@
     except web_requests.ClientDisconnect as error:
         raise exceptions.SlowBody("the caller left before the body ended") from error
     if body and _content_type(request) != JSON_TYPE:
-        raise exceptions.WrongType()
+        raise exceptions.UnsupportedContentType()
     return body
 
 
