--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -352,7 +352,7 @@
     status = http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
 
 
-class SlowBody(CallRejected):
+class BodyTimeout(CallRejected):
     """The body did not arrive in time."""
 
     code = "slow_body"
--- a/packages/daemon/cassiaquay_daemon/interface/bodies.py
+++ b/packages/daemon/cassiaquay_daemon/interface/bodies.py
@@ -23,9 +23,9 @@
         async with asyncio.timeout(settings.body_seconds):
             body = await _read(request, settings.max_body_bytes)
     except TimeoutError as error:
-        raise exceptions.SlowBody() from error
+        raise exceptions.BodyTimeout() from error
     except web_requests.ClientDisconnect as error:
-        raise exceptions.SlowBody("the caller left before the body ended") from error
+        raise exceptions.BodyTimeout("the caller left before the body ended") from error
     if body and _content_type(request) != JSON_TYPE:
         raise exceptions.UnsupportedContentType()
     return body
