--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -425,7 +425,7 @@
     status = http.HTTPStatus.NOT_FOUND
 
 
-class AdminElsewhere(AdminRefusal):
+class AdminInstanceUnreachable(AdminRefusal):
     """The instance that knows gave no answer."""
 
     code = "admin_elsewhere"
--- a/packages/daemon/cassiaquay_daemon/operators/explain.py
+++ b/packages/daemon/cassiaquay_daemon/operators/explain.py
@@ -192,7 +192,7 @@
                 return keeper_view.of_demand(self._parts, self._settings, demand)
             member = self._parts.membership.find(keeper)
             if member is None:
-                raise exceptions.AdminElsewhere("its address is not known")
+                raise exceptions.AdminInstanceUnreachable("its address is not known")
             target = (
                 f"/v1/placement?shard={demand.shard.replace('#', '%23')}"
                 f"&id={demand.id}&rank={demand.rank}"
@@ -209,7 +209,7 @@
         self, member: messages.Member, target: str, authorization: str
     ) -> bytes:
         if not member.admin:
-            raise exceptions.AdminElsewhere(f"{member.instance} has no such address")
+            raise exceptions.AdminInstanceUnreachable(f"{member.instance} has no such address")
         headers = {"Authorization": authorization} if authorization else {}
         timeout = aiohttp.ClientTimeout(total=ASK_SECONDS)
         url = f"http://{member.admin}{target}"
@@ -219,12 +219,12 @@
                 if answer.status == 404:
                     raise exceptions.AdminUnknown(_message(body))
                 if answer.status != 200:
-                    raise exceptions.AdminElsewhere(
+                    raise exceptions.AdminInstanceUnreachable(
                         f"{member.instance}: status {answer.status}: {_message(body)}"
                     )
                 return body
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            raise exceptions.AdminElsewhere(f"{member.instance}: {error!r}") from error
+            raise exceptions.AdminInstanceUnreachable(f"{member.instance}: {error!r}") from error
 
 
 class _Problem(msgspec.Struct):
