--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -418,7 +418,7 @@
     status = http.HTTPStatus.FORBIDDEN
 
 
-class AdminUnknown(AdminRefusal):
+class AdminNotFound(AdminRefusal):
     """There is nothing here by the name that was asked for."""
 
     code = "admin_unknown"
--- a/packages/daemon/cassiaquay_daemon/operators/explain.py
+++ b/packages/daemon/cassiaquay_daemon/operators/explain.py
@@ -61,7 +61,7 @@
             return await self._owned(text, viewer, authorization)
         member = self._parts.membership.find(request_id.instance)
         if member is None or member.incarnation != request_id.incarnation:
-            raise exceptions.AdminUnknown(
+            raise exceptions.AdminNotFound(
                 f"its owner, {request_id.instance} in its life"
                 f" {request_id.incarnation}, is gone; with it went what it knew"
             )
@@ -74,7 +74,7 @@
         """Return where a described request would go, and why."""
         snapshot = self._parts.configured.current
         if snapshot is None:
-            raise exceptions.AdminUnknown("no configuration is in force here yet")
+            raise exceptions.AdminNotFound("no configuration is in force here yet")
         service = snapshot.fleet.services.get(description.service)
         if service is None:
             raise exceptions.AdminBadRequest(f"no service {description.service!r}")
@@ -124,7 +124,7 @@
     ) -> bodies.Explanation:
         entry = self._parts.owned.table.get(text)
         if entry is None or (viewer.team and entry.accepted.team != viewer.team):
-            raise exceptions.AdminUnknown("its owner does not know this id")
+            raise exceptions.AdminNotFound("its owner does not know this id")
         accepted = entry.accepted
         reasons = _limits(accepted.snapshot, accepted.service, accepted.team)
         reasons.extend(_story(entry))
@@ -217,7 +217,7 @@
             async with self._http.get(url, headers=headers, timeout=timeout) as answer:
                 body = await answer.read()
                 if answer.status == 404:
-                    raise exceptions.AdminUnknown(_message(body))
+                    raise exceptions.AdminNotFound(_message(body))
                 if answer.status != 200:
                     raise exceptions.AdminInstanceUnreachable(
                         f"{member.instance}: status {answer.status}: {_message(body)}"
--- a/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
+++ b/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
@@ -16,7 +16,7 @@
     """Return what this instance, as the keeper, would do with a demand."""
     shard = views.shard_at_keeper(parts, settings, demand.shard)
     if shard is None:
-        raise exceptions.AdminUnknown(f"no shard {demand.shard!r} is kept here")
+        raise exceptions.AdminNotFound(f"no shard {demand.shard!r} is kept here")
     waiting = shard.queue.get(demand.id)
     if waiting is not None:
         # With the hashes of its prefix, which the question does not carry.
