--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -209,7 +209,7 @@
     code = "shed_overload"
 
 
-class Infeasible(Refusal):
+class DeadlineInfeasible(Refusal):
     """The answer could not be whole before the deadline."""
 
     code = "deadline_infeasible"
--- a/packages/daemon/cassiaquay_daemon/keepers/demands.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/demands.py
@@ -82,7 +82,7 @@
 
 REFUSALS: dict[str, type[exceptions.Refusal]] = {
     "shed_overload": exceptions.Shed,
-    "deadline_infeasible": exceptions.Infeasible,
+    "deadline_infeasible": exceptions.DeadlineInfeasible,
     "limit_reached": exceptions.LimitReached,
     "dependency_unavailable": exceptions.DependencyDown,
 }
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -371,7 +371,7 @@
             if entry.state is entries.State.DISPATCHED:
                 self._refuse(entry, exceptions.DeadlineExceeded())
             else:
-                self._refuse(entry, exceptions.Infeasible())
+                self._refuse(entry, exceptions.DeadlineInfeasible())
         except asyncio.CancelledError:
             if entry.state is entries.State.DISPATCHED:
                 self._refuse(entry, entry.stop_reason or exceptions.OutcomeUnknown())
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -281,7 +281,7 @@
 def test_explains_a_request_by_its_id_to_its_team_only() -> None:
     async def test(instance: fakes.Instance) -> None:
         entry = instance.entry(LARGE.name)
-        instance.owned._refuse(entry, exceptions.Infeasible())
+        instance.owned._refuse(entry, exceptions.DeadlineInfeasible())
         path = f"/v1/explain?id={entry.accepted.id.text}"
         found = (await instance.call(path, LARGE.credential)).json
         assert found["state"] == "refused"
