--- a/packages/daemon/cassiaquay_daemon/gateway/accounting.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/accounting.py
@@ -34,7 +34,11 @@
 
     def abandoned(self, known: progress.Progress) -> None:
         """Note that a caller has gone before its request had ended."""
-        lost = exceptions.CallerDisconnectedWhileRunning if known.sent else exceptions.CallerDisconnected
+        lost = (
+            exceptions.CallerDisconnectedWhileRunning
+            if known.sent
+            else exceptions.CallerDisconnected
+        )
         self.ended(known, lost.outcome or "not_run", lost.code, 0.0)
 
     def ended(
--- a/packages/daemon/cassiaquay_daemon/gateway/passing.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/passing.py
@@ -18,7 +18,9 @@
     body = await forwarding.read_whole(answer)
     if known.started:
         # A stream that the caller has a part of cannot go on with other bytes.
-        raise exceptions.StreamInterrupted(f"status {answer.status} for the rest of a stream")
+        raise exceptions.StreamInterrupted(
+            f"status {answer.status} for the rest of a stream"
+        )
     pairs = replies.without_length(answer.headers)
     pairs.append((b"content-length", str(len(body)).encode()))
     known.started = True
@@ -33,7 +35,7 @@
     reply: replies.Replies,
     send: replies.Send,
 ) -> None:
-    """Pass events on as they come; raise StreamInterrupted when the stream breaks off."""
+    """Pass events on as they come; raise StreamInterrupted when they end early."""
     splitter = events.Splitter()
     if not known.started:
         known.started = True
@@ -61,4 +63,6 @@
     if events.NO_EVENT in (found.first, known.last_event):
         return
     if found.first != known.last_event + 1:
-        raise exceptions.StreamInterrupted(f"event {found.first} after {known.last_event}")
+        raise exceptions.StreamInterrupted(
+            f"event {found.first} after {known.last_event}"
+        )
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -104,7 +104,11 @@
         except exceptions.Refusal as refusal:
             await self._end(known, send, refusal)
         except TimeoutError:
-            late = exceptions.DeadlineExceeded if known.sent else exceptions.DeadlineInfeasible
+            late = (
+                exceptions.DeadlineExceeded
+                if known.sent
+                else exceptions.DeadlineInfeasible
+            )
             await self._end(known, send, late())
         except Exception as error:
             # Whatever went wrong here, the caller gets an answer that is true.
--- a/packages/daemon/cassiaquay_daemon/links/peers.py
+++ b/packages/daemon/cassiaquay_daemon/links/peers.py
@@ -217,7 +217,9 @@
                 await self._prove(link, True)
             if link.instance != instance and not instance.startswith(SEED):
                 # Its address belongs to another one now.
-                raise exceptions.PeerAuthenticationFailed(f"{link.instance} answers for {instance}")
+                raise exceptions.PeerAuthenticationFailed(
+                    f"{link.instance} answers for {instance}"
+                )
             self._dialled[link.instance] = link
             # A seed is asked for by its address, as long as its name is not known.
             self._dialled[instance] = link
@@ -264,7 +266,9 @@
         if not isinstance(hello, messages.Hello):
             raise exceptions.PeerAuthenticationFailed("no hello")
         if hello.version != PROTOCOL_VERSION:
-            raise exceptions.PeerAuthenticationFailed(f"protocol version {hello.version}")
+            raise exceptions.PeerAuthenticationFailed(
+                f"protocol version {hello.version}"
+            )
         mac = _mac(settings.keys[0], ours, hello.nonce, nonce, settings.instance)
         link.send(messages.Proof(mac))
         proof = await link.receive_one()
@@ -273,14 +277,18 @@
         if hello.instance == settings.instance:
             # This process itself, by way of a seed, or a second one of its name:
             # either would be taken for a peer that agrees with everything.
-            raise exceptions.PeerAuthenticationFailed("a peer has the name of this instance")
+            raise exceptions.PeerAuthenticationFailed(
+                "a peer has the name of this instance"
+            )
         for key in settings.keys:
             expected = _mac(key, theirs, nonce, hello.nonce, hello.instance)
             if hmac.compare_digest(expected, proof.mac):
                 link.instance = hello.instance
                 link.incarnation = hello.incarnation
                 return
-        raise exceptions.PeerAuthenticationFailed(f"{hello.instance} does not know the key")
+        raise exceptions.PeerAuthenticationFailed(
+            f"{hello.instance} does not know the key"
+        )
 
     async def _read(self, link: Link) -> None:
         while True:
@@ -290,7 +298,9 @@
             for message in found:
                 handler = self._handlers.get(type(message))
                 if handler is None:
-                    raise exceptions.InvalidFrame(f"unexpected {type(message).__name__}")
+                    raise exceptions.InvalidFrame(
+                        f"unexpected {type(message).__name__}"
+                    )
                 handler(link, message)
 
     def _close(self, link: Link) -> None:
--- a/packages/daemon/cassiaquay_daemon/operators/explain.py
+++ b/packages/daemon/cassiaquay_daemon/operators/explain.py
@@ -209,7 +209,9 @@
         self, member: messages.Member, target: str, authorization: str
     ) -> bytes:
         if not member.admin:
-            raise exceptions.AdminInstanceUnreachable(f"{member.instance} has no such address")
+            raise exceptions.AdminInstanceUnreachable(
+                f"{member.instance} has no such address"
+            )
         headers = {"Authorization": authorization} if authorization else {}
         timeout = aiohttp.ClientTimeout(total=ASK_SECONDS)
         url = f"http://{member.admin}{target}"
@@ -224,7 +226,9 @@
                     )
                 return body
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            raise exceptions.AdminInstanceUnreachable(f"{member.instance}: {error!r}") from error
+            raise exceptions.AdminInstanceUnreachable(
+                f"{member.instance}: {error!r}"
+            ) from error
 
 
 class _Problem(msgspec.Struct):
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -224,7 +224,9 @@
         """Hand waiting requests back, and return when the others have been read."""
         self.leaving = True
         for entry in self.held.waiting():
-            self._give_up(entry, exceptions.InstanceLeaving(address=self._better_address()))
+            self._give_up(
+                entry, exceptions.InstanceLeaving(address=self._better_address())
+            )
         while self._running():
             await asyncio.wait(self._running())
         end = clock.now() + UNREAD_SECONDS
