--- a/packages/daemon/cassiaquay_daemon/fleet/renewal.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/renewal.py
@@ -64,7 +64,7 @@
         self._needed = asyncio.Event()
         links.on(messages.Refresh, self._refresh)
         links.on(messages.Refreshed, self._refreshed)
-        pauses.on_overslept(self._needed.set)
+        pauses.on_resume(self._needed.set)
 
     def start(self) -> None:
         """Hold this instance back, as it is at its start."""
--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -73,7 +73,7 @@
         # Demands that have not been acknowledged to their owners yet.
         self._fresh: dict[str, dict[str, shards.Replier]] = {}
         self._pauses = pauses or pause.Pauses(pause.shortest_lease(settings))
-        self._pauses.on_overslept(self._overslept)
+        self._pauses.on_resume(self._overslept)
         self._ask_local: collections.abc.Callable[[str], None] = _nothing
         self._ticked_at = clock.now()
         self._changed_at = clock.now()
--- a/packages/daemon/cassiaquay_daemon/pause.py
+++ b/packages/daemon/cassiaquay_daemon/pause.py
@@ -53,7 +53,7 @@
         self._check()
         return self._current.is_set()
 
-    def on_overslept(self, call: collections.abc.Callable[[], None]) -> None:
+    def on_resume(self, call: collections.abc.Callable[[], None]) -> None:
         """Call ``call`` when a pause is noticed."""
         self._on_overslept.append(call)
 
