--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -102,7 +102,7 @@
         self._membership.on_heard(self._configuration.heard)
         self._membership.digest = lambda: self._configuration.digest
         self._configuration.on_accept(self._membership.update)
-        self._pauses.on_resume(self._membership.overslept)
+        self._pauses.on_resume(self._membership.restart_silence_timers)
         chosen = settings.platform
         self._texts = platform.configuration_services.get(chosen.configuration_adapter)(
             self._http, chosen.configuration
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -287,7 +287,7 @@
                 found.append(facts.told(record))
         return found
 
-    def overslept(self) -> None:
+    def restart_silence_timers(self) -> None:
         """Judge nobody by the silence during this process's own pause."""
         self._watching.restart()
 
--- a/packages/dev/cassiaquay_dev/sizing/light.py
+++ b/packages/dev/cassiaquay_dev/sizing/light.py
@@ -146,7 +146,7 @@
         self.membership.digest = lambda: self.configuration.digest
         self.configuration.on_accept(self.membership.update)
         self.configuration.on_accept(self._note)
-        self.pauses.on_resume(self.membership.overslept)
+        self.pauses.on_resume(self.membership.restart_silence_timers)
         self._published = published
         self._listing = listing
         self._tasks: list[asyncio.Task[None]] = []
