--- a/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
@@ -52,7 +52,7 @@
         membership.on_heard(self._heard)
         membership.crashes_digest = lambda: held.digest
         if not is_first_start:
-            held.has_forgotten = lambda: not membership.has_elders()
+            held.has_forgotten = lambda: not membership.has_older_instances()
 
     def holds(self, content: str) -> bool:
         """Return whether a request must be refused; its caller has just sent it."""
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -187,7 +187,7 @@
         """Return the seconds since a known member's start, or a little less."""
         return self.facts.records[instance].uptime
 
-    def has_elders(self) -> bool:
+    def has_older_instances(self) -> bool:
         """Return whether an instance is alive that ran before this one started."""
         return self.facts.has_older(clock.now() - self._started)
 
--- a/tests/mesh_fakes.py
+++ b/tests/mesh_fakes.py
@@ -56,7 +56,7 @@
         """Return the others."""
         return {name: "h:1" for name in self.owners if name != self._own}
 
-    def has_elders(self) -> bool:
+    def has_older_instances(self) -> bool:
         """Return whether an instance ran before this one."""
         return True
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -457,7 +457,7 @@
             await asyncio.sleep(0.1)
             second = await fleet.add("cq-2")
             await fleet.agree()
-            assert second.membership.has_elders()
-            assert not first.membership.has_elders()
+            assert second.membership.has_older_instances()
+            assert not first.membership.has_older_instances()
 
     asyncio.run(run())
