--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -242,7 +242,7 @@
         if self._gateway is not None:
             await self._gateway.drain()
         else:
-            self._membership.farewell()
+            self._membership.announce_leaving()
             await self._owner.leave()
             await asyncio.sleep(LINGER_SECONDS)
         for server in listening:
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -263,7 +263,7 @@
             self.listed = found
         self._notice()
 
-    def farewell(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the neighbours at once that this instance leaves."""
         self.leaving = True
         self._send()
--- a/packages/daemon/cassiaquay_daemon/gateway/service.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/service.py
@@ -110,7 +110,7 @@
         grace = self._gateway.grace_seconds
         ends_at = loop.time() + grace - CLOSING_SECONDS
         self._front.leave()
-        self._membership.farewell()
+        self._membership.announce_leaving()
         # Callers that asked for addresses just before still come for a while.
         await asyncio.sleep(grace * LINGER_SHARE)
         for server in self._servers:
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -32,7 +32,7 @@
         found._gateway = settings.Gateway(grace_seconds=8.0)
         found._front = mock.Mock(open_count=0)
         found._membership = fakes.Membership("cq-1", [])
-        found._membership.farewell = mock.Mock()
+        found._membership.announce_leaving = mock.Mock()
         found._servers = [server]
         found._serving = []
         found._parts = mock.Mock()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -191,7 +191,7 @@
         async with fleets.fleet() as fleet:
             *_, last = await fleet.add_many(3)
             await fleet.agree()
-            last.membership.farewell()
+            last.membership.announce_leaving()
             await fleet.agree(["cq-1", "cq-2"])
 
     asyncio.run(run())
