--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -230,10 +230,10 @@
     async def beat(self) -> None:
         """Send heartbeats for ever."""
         while True:
-            self.beat_once()
+            self.send_heartbeats_once()
             await asyncio.sleep(self._settings.membership.period)
 
-    def beat_once(self) -> None:
+    def send_heartbeats_once(self) -> None:
         """Send one round of heartbeats and judge who is silent."""
         self._number += 1
         self._send()
