--- a/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
@@ -49,7 +49,7 @@
         self._sent_at: weakref.WeakKeyDictionary[peers.Link, float]
         self._sent_at = weakref.WeakKeyDictionary()
         links.on(messages.CrashReports, self._received)
-        membership.on_heard(self._heard)
+        membership.on_heartbeat(self._heard)
         membership.crashes_digest = lambda: held.digest
         if not is_first_start:
             held.has_forgotten = lambda: not membership.has_older_instances()
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -146,7 +146,7 @@
         """Take in changed settings: the seeds."""
         self._seeds = settings.seeds
 
-    def on_heard(
+    def on_heartbeat(
         self, call: collections.abc.Callable[[peers.Link, messages.Heartbeat], None]
     ) -> None:
         """Call ``call`` with each heartbeat and the link that it came over."""
--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -82,7 +82,7 @@
         self._failing = False
         links.on(messages.ServerListQuery, self._query)
         links.on(messages.ServerList, self._list)
-        membership.on_heard(self._heard)
+        membership.on_heartbeat(self._heard)
 
     @property
     def revision(self) -> int:
--- a/tests/mesh_fakes.py
+++ b/tests/mesh_fakes.py
@@ -44,7 +44,7 @@
         self.heard: list = []
         self._own = own
 
-    def on_heard(self, call) -> None:
+    def on_heartbeat(self, call) -> None:
         """Keep a callback."""
         self.heard.append(call)
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -77,7 +77,7 @@
         super().__init__("", [fakes.Owner(name) for name in names])
         self.heard: list = []
 
-    def on_heard(self, call) -> None:
+    def on_heartbeat(self, call) -> None:
         """Keep a callback."""
         self.heard.append(call)
 
