--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -39,7 +39,7 @@
     digest: int
 
 
-NOWHERE = Position(0, 0)
+NO_VERSION = Position(0, 0)
 
 
 def digest_of(text: str) -> int:
@@ -67,7 +67,7 @@
         # The text in force as it was read, and the servers that registered since.
         self._in_force: snapshots.Snapshot | None = None
         self._servers: snapshots.Registered | None = None
-        self._position = NOWHERE
+        self._position = NO_VERSION
         self._refused: dict[Position, str] = {}
         self._before = ""
         self._held = False
--- a/packages/daemon/cassiaquay_daemon/fleet/renewal.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/renewal.py
@@ -150,7 +150,7 @@
             await asyncio.sleep(POLL_SECONDS)
 
     async def _take_highest(self) -> None:
-        highest = configuration.NOWHERE
+        highest = configuration.NO_VERSION
         holder = ""
         for name, answer in self._answers.items():
             place = configuration.Position(answer.revision, answer.digest)
