--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -32,14 +32,14 @@
 REMEMBERED_REJECTIONS = 16
 
 
-class Position(typing.NamedTuple):
+class TextVersion(typing.NamedTuple):
     """Place of a text in the order of all texts."""
 
     revision: int
     digest: int
 
 
-NO_VERSION = Position(0, 0)
+NO_VERSION = TextVersion(0, 0)
 
 
 def digest_of(text: str) -> int:
@@ -68,7 +68,7 @@
         self._in_force: snapshots.Snapshot | None = None
         self._servers: snapshots.Registered | None = None
         self._position = NO_VERSION
-        self._refused: dict[Position, str] = {}
+        self._refused: dict[TextVersion, str] = {}
         self._before = ""
         self._held = False
         self._asked_at = 0.0
@@ -84,7 +84,7 @@
         return self.current.revision if self.current else 0
 
     @property
-    def position(self) -> Position:
+    def position(self) -> TextVersion:
         """Place of the newest sound text, in force or held back."""
         return self._position
 
@@ -119,7 +119,7 @@
 
     def accept(self, revision: int, text: str) -> bool:
         """Put a text in force when it is newer and sound; return whether it was."""
-        position = Position(revision, digest_of(text))
+        position = TextVersion(revision, digest_of(text))
         if not self._is_news(position):
             return False
         return self._judge(position, text, _try_to_read(self._reader, revision, text))
@@ -128,19 +128,19 @@
         """Do as :meth:`accept`, and let the process work on meanwhile."""
         if len(text) < THREAD_CHARACTERS:
             return self.accept(revision, text)
-        position = Position(revision, digest_of(text))
+        position = TextVersion(revision, digest_of(text))
         if not self._is_news(position):
             return False
         found = await asyncio.to_thread(_try_to_read, self._reader, revision, text)
         return self._is_news(position) and self._judge(position, text, found)
 
-    def wants(self, position: Position) -> bool:
+    def wants(self, position: TextVersion) -> bool:
         """Tell whether a text at this place would be news."""
         return position > self._position and position not in self._refused
 
     def heard(self, link: peers.Link, beat: messages.Heartbeat) -> None:
         """Ask a neighbour for its configuration when it is newer."""
-        if not self.wants(Position(beat.revision, beat.digest)):
+        if not self.wants(TextVersion(beat.revision, beat.digest)):
             return
         if clock.now() - self._asked_at >= ASK_SECONDS:
             self.ask(link)
@@ -205,7 +205,7 @@
         name = self._settings.instance
         return name in ranked[:WATCHERS] or name == first_near
 
-    def _is_news(self, position: Position) -> bool:
+    def _is_news(self, position: TextVersion) -> bool:
         if position.revision == self._position.revision != 0:
             if position.digest != self._position.digest:
                 # Two texts under one revision: the platform broke its order. All
@@ -216,7 +216,7 @@
 
     def _judge(
         self,
-        position: Position,
+        position: TextVersion,
         text: str,
         found: snapshots.Snapshot | schema_exceptions.SchemaError,
     ) -> bool:
@@ -230,7 +230,7 @@
             self._put_in_force(found)
         return True
 
-    def _reject(self, position: Position, error: schema_exceptions.SchemaError) -> None:
+    def _reject(self, position: TextVersion, error: schema_exceptions.SchemaError) -> None:
         self._refused[position] = str(error)
         self.rejected[position.revision] = str(error)
         while len(self._refused) > REMEMBERED_REJECTIONS:
@@ -258,7 +258,7 @@
 
     def _query(self, link: peers.Link, query: messages.ConfigurationQuery) -> None:
         newest = self._newest
-        if newest is None or self._position <= Position(*query):
+        if newest is None or self._position <= TextVersion(*query):
             return
         if query.digest and query.digest == digest_of(self._before):
             # Most changes touch a few lines of a text of up to a megabyte.
@@ -275,7 +275,7 @@
         self._offer_soon(found.revision, found.text)
 
     def _change(self, link: peers.Link, found: messages.ConfigurationChange) -> None:
-        if not self.wants(Position(found.revision, found.digest)):
+        if not self.wants(TextVersion(found.revision, found.digest)):
             return
         if self._newest is not None and found.base == self._position.digest:
             change = changes.Change(found.start, found.end, found.part)
--- a/packages/daemon/cassiaquay_daemon/fleet/renewal.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/renewal.py
@@ -153,7 +153,7 @@
         highest = configuration.NO_VERSION
         holder = ""
         for name, answer in self._answers.items():
-            place = configuration.Position(answer.revision, answer.digest)
+            place = configuration.TextVersion(answer.revision, answer.digest)
             if place > highest:
                 highest = place
                 holder = name
--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -304,7 +304,7 @@
         # A neighbour whose configuration is newer confirms nothing here: until its
         # text has come, requests would be answered by the older one, and a key that
         # was taken away would be served for as long as that text is on its way.
-        position = configuration.Position(beat.revision, beat.digest)
+        position = configuration.TextVersion(beat.revision, beat.digest)
         if self._configured.wants(position):
             return
         # The same servers, confirmed later: nothing needs to be sent. The age was true
