--- a/packages/daemon/cassiaquay_daemon/fleet/renewal.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/renewal.py
@@ -82,7 +82,7 @@
                 continue
             self._configured.settle()
             self._membership.update()
-            self._pauses.renewed()
+            self._pauses.release()
             logs.event(
                 "renewed",
                 peers=len(self._answers),
--- a/packages/daemon/cassiaquay_daemon/pause.py
+++ b/packages/daemon/cassiaquay_daemon/pause.py
@@ -58,10 +58,10 @@
         self._on_overslept.append(call)
 
     def hold(self) -> None:
-        """Hold this instance back until :meth:`renewed` is called."""
+        """Hold this instance back until :meth:`release` is called."""
         self._current.clear()
 
-    def renewed(self) -> None:
+    def release(self) -> None:
         """Let this instance act again."""
         self._check()
         self._current.set()
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -63,7 +63,7 @@
         await asyncio.sleep(0.0)
         assert not asked.done()
         configured.current = Snapshot(Routes())
-        pauses.renewed()
+        pauses.release()
         with pytest.raises(exceptions.NoRoute):
             await asked
 
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -78,7 +78,7 @@
         kept.demand(owning, _demand(2))
         await asyncio.sleep(0.3)
         assert len(owning.messages) == 1
-        pauses.renewed()
+        pauses.release()
         assert not kept.shards["plain#0"].is_open
         kept.demand(owning, _demand(2))
         await light.until(lambda: len(owning.messages) == 2, 10)
@@ -160,7 +160,7 @@
             await asyncio.sleep(0.3)
             assert _Fake.sent == []
             assert not entry.ended
-            pauses.renewed()
+            pauses.release()
             await light.until(lambda: entry.ended, 10)
             assert len(_Fake.sent) == 1
             await owned.leave()
