--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -111,7 +111,7 @@
         if self._newest is not None and self._newest is not self._in_force:
             self._put_in_force(self._newest)
 
-    def use_servers(self, registered: snapshots.Registered) -> None:
+    def set_registered_servers(self, registered: snapshots.Registered) -> None:
         """Take the servers of each pool from their registrations."""
         self._servers = registered
         if self._in_force is not None:
--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -264,7 +264,7 @@
             added_count=len(self._added) or None,
         )
         self._added.clear()
-        self._configured.use_servers(
+        self._configured.set_registered_servers(
             snapshots.Registered(pools, self.evacuated.domains)
         )
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -49,7 +49,7 @@
         """Want what is newer."""
         return position.revision > self.revision
 
-    def use_servers(self, registered: snapshots.Registered) -> None:
+    def set_registered_servers(self, registered: snapshots.Registered) -> None:
         """Keep the servers."""
         self.pools = registered.pools
         self.evacuated = registered.evacuated
