--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -195,7 +195,7 @@
         """Return how many instances may spend from a budget of the whole fleet."""
         return self._budget_peers.count(max(len(self.facts.records), len(self._seeds)))
 
-    def last_heard(self, instance: str) -> messages.Member | None:
+    def last_known(self, instance: str) -> messages.Member | None:
         """Return what was heard last of another instance, also when silent now."""
         record = self.facts.records.get(instance)
         return record.member if record is not None else None
--- a/packages/daemon/cassiaquay_daemon/interface/holds.py
+++ b/packages/daemon/cassiaquay_daemon/interface/holds.py
@@ -26,17 +26,17 @@
     ----------
     passing : Relay
         The way to owners.
-    last_heard : callable
+    last_known : callable
         Returns what was heard last of an instance, also when it is silent now.
     """
 
     def __init__(
         self,
         passing: relay.Relay,
-        last_heard: collections.abc.Callable[[str], messages.Member | None],
+        last_known: collections.abc.Callable[[str], messages.Member | None],
     ):
         self._relay = passing
-        self._last_heard = last_heard
+        self._last_heard = last_known
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(
--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -87,7 +87,7 @@
         self._owner = owned
         self._relay = passing
         self._recovery = recovering
-        self._holds = holds.Holds(passing, membership.last_heard)
+        self._holds = holds.Holds(passing, membership.last_known)
         self._pauses = pauses or pause.Pauses(pause.shortest_lease(settings))
         self._on_refused: list[OnRefused] = []
 
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -32,7 +32,7 @@
     def find(self, instance: str) -> messages.Member | None:
         return self.alive.get(instance)
 
-    def last_heard(self, instance: str) -> messages.Member | None:
+    def last_known(self, instance: str) -> messages.Member | None:
         return self.heard.get(instance)
 
 
