--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -166,7 +166,7 @@
         else:
             bound.append(self._listen(callers.application(), settings.http_port))
             self._membership.http_address = _address(bound[1][1])
-        early_bind.close_rest()
+        early_bind.close_unclaimed()
         self._membership.admin_address = _address(admin_socket)
         tasks = [asyncio.create_task(work) for work in self._work()]
         tasks.append(asyncio.create_task(noted.watch_lag()))
--- a/packages/daemon/cassiaquay_daemon/early_bind.py
+++ b/packages/daemon/cassiaquay_daemon/early_bind.py
@@ -49,7 +49,7 @@
     return bound if bound is not None else _bind(address)
 
 
-def close_rest() -> None:
+def close_unclaimed() -> None:
     """Close the sockets that nobody took: callers there would wait for nothing."""
     while _held:
         _held.popitem()[1].close()
--- a/tests/test_early_bind.py
+++ b/tests/test_early_bind.py
@@ -74,7 +74,7 @@
     early_bind.take(f"127.0.0.1:{front}").close()
     with socket.create_connection(("127.0.0.1", peers), timeout=5.0):
         pass
-    early_bind.close_rest()
+    early_bind.close_unclaimed()
     try:
         socket.create_connection(("127.0.0.1", peers), timeout=5.0)
     except ConnectionRefusedError:
@@ -89,4 +89,4 @@
         path.write_text(text)
         early_bind.listen_all(str(path))
     early_bind.listen_all(str(tmp_path / "missing.toml"))
-    early_bind.close_rest()
+    early_bind.close_unclaimed()
