--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -83,7 +83,7 @@
         self._spread = spread.Spread(
             settings.instance, self.facts, settings.membership.spread_bytes
         )
-        self._watching = watching.Watching(settings, self.facts, self._send_to)
+        self._watching = watching.FailureDetector(settings, self.facts, self._send_to)
         self._on_heard: list[
             collections.abc.Callable[[peers.Link, messages.Heartbeat], None]
         ] = []
--- a/packages/daemon/cassiaquay_daemon/fleet/watching.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/watching.py
@@ -31,7 +31,7 @@
     return sorted(names, key=score, reverse=True)
 
 
-class Watching:
+class FailureDetector:
     """The instances whose heartbeats come here.
 
     Parameters
