--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -80,7 +80,7 @@
         self._load_at = clock.now()
         self._budget_peers = budget_peers.BudgetPeers()
         self._lost: dict[str, _Lost] = {}
-        self._spread = spread.Spread(
+        self._spread = spread.Gossip(
             settings.instance, self.facts, settings.membership.spread_bytes
         )
         self._watching = watching.FailureDetector(settings, self.facts, self._send_to)
--- a/packages/daemon/cassiaquay_daemon/fleet/spread.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/spread.py
@@ -23,7 +23,7 @@
     suspicions: list[messages.Suspicion]
 
 
-class Spread:
+class Gossip:
     """Chooses what to send over each link.
 
     Parameters
