--- a/packages/daemon/cassiaquay_daemon/fleet/budget_peers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/budget_peers.py
@@ -8,7 +8,7 @@
 
 # Partitions of machines and switches end within this; counting the gone for longer
 # would keep budgets small after a real loss.
-REMEMBER_SECONDS = 60.0
+RETENTION_S = 60.0
 
 
 class BudgetPeers:
@@ -21,7 +21,7 @@
     def count(self, known: int) -> int:
         """Return the count, given how many are known now."""
         now = clock.now()
-        if known >= self._most or now - self._seen_at > REMEMBER_SECONDS:
+        if known >= self._most or now - self._seen_at > RETENTION_S:
             self._most = max(known, 1)
             self._seen_at = now
         return self._most
