--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -230,7 +230,9 @@
             self._put_in_force(found)
         return True
 
-    def _reject(self, position: TextVersion, error: schema_exceptions.SchemaError) -> None:
+    def _reject(
+        self, position: TextVersion, error: schema_exceptions.SchemaError
+    ) -> None:
         self._refused[position] = str(error)
         self.rejected[position.revision] = str(error)
         while len(self._refused) > REMEMBERED_REJECTIONS:
