--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -1,121 +1,121 @@
-"""Errors of the daemon: one root, a group for each layer, a stable code for each.
+"""Exceptions of the daemon: one base class, a group per layer, a stable code each.
 
-docs/ERRORS.md lists the codes. A layer raises its own errors and turns those of the
-layer below into them.
+docs/ERRORS.md lists the codes. A layer raises its own exceptions and converts those of
+the layer below. The first docstring line of a ``Refusal`` is its default message.
 """
 
 import http
 
 
 class DaemonError(Exception):
-    """Root of the daemon's errors."""
+    """Base class of the daemon's exceptions."""
 
     code = "daemon"
 
 
 class PeerError(DaemonError):
-    """A connection between instances is of no use any more."""
+    """A connection between two instances has failed."""
 
     code = "peer"
 
 
 class InvalidFrame(PeerError):
-    """A peer sent something that is not a message."""
+    """A peer sent bytes that do not decode to a known message."""
 
     code = "peer_frame"
 
 
 class PeerAuthenticationFailed(PeerError):
-    """A peer does not know the shared key."""
+    """A peer failed the handshake, for example because its shared key differs."""
 
     code = "peer_proof"
 
 
 class PlatformError(DaemonError):
-    """The platform gave no usable answer."""
+    """A call to the platform failed or returned an invalid response."""
 
     code = "platform"
 
 
 class KeeperUnresponsive(DaemonError):
-    """The keeper of a shard gives no sign of life."""
+    """The keeper, which admits requests to a shard, has stopped responding."""
 
     code = "keeper_silent"
 
 
 class BackendError(DaemonError):
-    """A backend server gave no whole answer."""
+    """A backend server did not return a complete response."""
 
     code = "backend"
 
 
 class NotSent(BackendError):
-    """No byte of the request was written: another server may be chosen."""
+    """No byte of the request was written, so it is safe to try another server."""
 
     code = "backend_not_sent"
 
 
 class Unreachable(NotSent):
-    """There is no connection to the backend server."""
+    """Connecting to the backend server failed."""
 
     code = "backend_unreachable"
 
 
 class Declined(BackendError):
-    """The backend server said that it does not run this request."""
+    """The backend server declined the request without running it."""
 
     code = "backend_declined"
 
 
 class Rejected(BackendError):
-    """The backend server ran the request, or judged it, and said no."""
+    """The backend server validated or ran the request and returned an error."""
 
     code = "backend_rejected"
 
 
 class StreamInterrupted(BackendError):
-    """The answer broke off, or never began, after the request was sent."""
+    """The response ended early, or never began, after the request was sent."""
 
     code = "backend_cut"
 
 
 class ConnectionBroken(StreamInterrupted):
-    """The server closed or reset the connection in the middle of a request."""
+    """The server closed or reset the connection during a request."""
 
     code = "backend_broken"
 
 
 class StreamNotFound(BackendError):
-    """The backend server does not hold the stream that was asked for."""
+    """The backend server does not have the requested stream."""
 
     code = "backend_missing"
 
 
 class StaleAfterPause(NotSent):
-    """A woken process must first learn anew what is true."""
+    """After a pause, the process must refresh its state before it dispatches."""
 
     code = "backend_overslept"
 
 
 class SupersededOrder(BackendError):
-    """The engine has obeyed an order with a higher fencing number."""
+    """The engine has already applied an order with a higher fencing number."""
 
     code = "order_outranked"
 
 
 class Refusal(DaemonError):
-    """A request ends here, with an answer that the caller can rely on.
+    """Ends a request with an error response that states its outcome.
 
     Parameters
     ----------
     message : str
-        What happened.
+        Text for the caller; the first line of the docstring by default.
     retry_after_ms : int
-        When asking again is worth it, milliseconds; 0 says nothing.
+        Milliseconds after which the caller should retry; 0 for no hint.
     address : str
-        A better address, or empty.
+        Address of an instance to try instead, or empty.
     code : str
-        Another stable code than the one of the class.
+        Stable code that replaces the one of the class.
     """
 
     code = "refused"
@@ -137,10 +137,10 @@
 
 
 class CallRejected(Refusal):
-    """The call did nothing.
+    """The call had no effect.
 
-    It was turned away before the owner looked at the id, so it says nothing of other
-    calls under the same id: "not run" could be a lie about a request under way.
+    It was rejected before the owner looked up its request id. Another call with that id
+    may be running, so the response must not claim "not run".
     """
 
     code = "call_rejected"
@@ -156,14 +156,14 @@
 
 
 class BadId(CallRejected):
-    """The request id is malformed, or its token is not one of ours."""
+    """The request id is malformed, or its token was not issued by this fleet."""
 
     code = "bad_id"
     status = http.HTTPStatus.BAD_REQUEST
 
 
 class TooLarge(CallRejected):
-    """The body is larger than allowed."""
+    """The body exceeds the size limit."""
 
     code = "too_large"
     status = http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -177,59 +177,59 @@
 
 
 class Forbidden(CallRejected):
-    """The team may not do this."""
+    """The team is not allowed to make this call."""
 
     code = "forbidden"
     status = http.HTTPStatus.FORBIDDEN
 
 
 class UnknownId(CallRejected):
-    """The owner of the id has never seen it."""
+    """The instance that owns the request id has no record of it."""
 
     code = "unknown_id"
     status = http.HTTPStatus.NOT_FOUND
 
 
 class NoRoute(CallRejected):
-    """No route begins the path on this host."""
+    """No route of this host matches the path."""
 
     code = "no_route"
     status = http.HTTPStatus.NOT_FOUND
 
 
 class NoServers(Refusal):
-    """No backend server of the service is known."""
+    """The service has no known backend server."""
 
     code = "no_servers"
 
 
 class Shed(Refusal):
-    """Overload: more important work has the capacity."""
+    """Shed under overload in favour of more important requests."""
 
     code = "shed_overload"
 
 
 class DeadlineInfeasible(Refusal):
-    """The answer could not be whole before the deadline."""
+    """The response could not be completed before the deadline."""
 
     code = "deadline_infeasible"
 
 
 class Quarantined(Refusal):
-    """The request has crashed several servers; it is not sent to another one."""
+    """The request has crashed several servers and is quarantined."""
 
     code = "crashes_servers"
 
 
 class LimitReached(Refusal):
-    """A limit of the team or service is reached."""
+    """A limit of the team or service has been reached."""
 
     code = "limit_reached"
     status = http.HTTPStatus.TOO_MANY_REQUESTS
 
 
 class TableFull(Refusal):
-    """The instance holds too many requests."""
+    """The instance's table of requests is full."""
 
     code = "table_full"
 
@@ -242,7 +242,7 @@
 
 
 class PreviouslyRefused(Refusal):
-    """The request was refused before and stays refused."""
+    """A request with this id was refused earlier; the refusal is final."""
 
     code = "refused_before"
 
@@ -261,13 +261,13 @@
 
 
 class CallerDisconnected(Refusal):
-    """The caller's connection was gone for longer than the grace time."""
+    """The caller stayed disconnected longer than the grace time."""
 
     code = "caller_gone"
 
 
 class Cancelled(Refusal):
-    """The caller gave the request up while it waited."""
+    """The caller cancelled the request while it was queued."""
 
     code = "cancelled"
 
@@ -279,13 +279,13 @@
 
 
 class DependencyDown(Refusal):
-    """A service that this one depends on cannot serve."""
+    """A service that this one depends on is unavailable."""
 
     code = "dependency_unavailable"
 
 
 class OutcomeUnknown(Refusal):
-    """The request may have run; nobody that could be asked knows."""
+    """The request may have run; no reachable process knows its outcome."""
 
     code = "outcome_unknown"
     outcome = "outcome_unknown"
@@ -293,19 +293,19 @@
 
 
 class TokenExpired(OutcomeUnknown):
-    """The id's token expired before the owner first saw it."""
+    """The token in the request id expired before the owner received the request."""
 
     code = "token_expired"
 
 
 class OwnerLost(OutcomeUnknown):
-    """The owner is gone and no engine holds the stream."""
+    """The owner has failed and no engine has the stream."""
 
     code = "owner_gone"
 
 
 class AnswerLost(OutcomeUnknown):
-    """The request was sent and its answer broke off for good."""
+    """The request was sent, but its response was interrupted and not recovered."""
 
     code = "answer_lost"
 
@@ -317,7 +317,7 @@
 
 
 class AnswerExpired(Refusal):
-    """The request completed; its answer is not kept any more."""
+    """The request completed; its response is no longer stored."""
 
     code = "answer_forgotten"
     outcome = "completed"
@@ -325,7 +325,7 @@
 
 
 class BackendFailed(Refusal):
-    """The request ran and the backend server said no."""
+    """The request ran and the backend server returned an error."""
 
     code = "backend_failed"
     outcome = "failed"
@@ -333,20 +333,20 @@
 
 
 class BadQuery(CallRejected):
-    """A parameter of the URL is malformed."""
+    """A query parameter is malformed."""
 
     code = "bad_query"
 
 
 class UnsupportedContentType(CallRejected):
-    """The body is not of the type application/json."""
+    """The content type of the body is not application/json."""
 
     code = "wrong_content_type"
     status = http.HTTPStatus.UNSUPPORTED_MEDIA_TYPE
 
 
 class HeadersTooLarge(CallRejected):
-    """The headers or the URL are larger than allowed."""
+    """The headers or the URL exceed the size limit."""
 
     code = "headers_too_large"
     status = http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
@@ -360,39 +360,39 @@
 
 
 class NotFinished(CallRejected):
-    """A request under way cannot be acknowledged."""
+    """A request that has not finished cannot be acknowledged."""
 
     code = "not_finished"
     status = http.HTTPStatus.CONFLICT
 
 
 class IdConflict(OutcomeUnknown):
-    """The id belongs to a request with another body; this one did nothing."""
+    """The id is in use by a request with another body; this call had no effect."""
 
     code = "id_conflict"
     status = http.HTTPStatus.CONFLICT
 
 
 class CancelledWhileRunning(OutcomeUnknown):
-    """The caller gave the request up while it ran."""
+    """The caller cancelled the request while it was running."""
 
     code = "cancelled_running"
 
 
 class CallerDisconnectedWhileRunning(OutcomeUnknown):
-    """The caller's connection was gone for longer than the grace time."""
+    """The caller stayed disconnected past the grace time while the request ran."""
 
     code = "caller_gone_running"
 
 
 class InternalError(Refusal):
-    """An error in the daemon itself ended the request before it was sent."""
+    """An internal error of the daemon ended the request before it was sent."""
 
     code = "internal_error"
 
 
 class AdminRefusal(DaemonError):
-    """The operators' address does not do what it was asked for."""
+    """The admin interface refused a call."""
 
     code = "admin_refused"
     status = http.HTTPStatus.BAD_REQUEST
@@ -405,28 +405,28 @@
 
 
 class AdminUnauthorized(AdminRefusal):
-    """No operator's or team's credential came with the call."""
+    """The call has no valid credential of an operator or a team."""
 
     code = "admin_unauthorized"
     status = http.HTTPStatus.UNAUTHORIZED
 
 
 class AdminForbidden(AdminRefusal):
-    """Only operators may ask for this."""
+    """Only operators may make this call."""
 
     code = "admin_forbidden"
     status = http.HTTPStatus.FORBIDDEN
 
 
 class AdminNotFound(AdminRefusal):
-    """There is nothing here by the name that was asked for."""
+    """The requested name or id does not exist on this instance."""
 
     code = "admin_unknown"
     status = http.HTTPStatus.NOT_FOUND
 
 
 class AdminInstanceUnreachable(AdminRefusal):
-    """The instance that knows gave no answer."""
+    """The instance that has the requested data did not respond."""
 
     code = "admin_elsewhere"
     status = http.HTTPStatus.BAD_GATEWAY
