--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -201,7 +201,7 @@
         work = [
             self._pauses.tick(),
             renewing.run(),
-            self._membership.beat(),
+            self._membership.send_heartbeats(),
             self._keeper.tick(),
             self._demands.renew(),
             self._demands.report(),
--- a/packages/daemon/cassiaquay_daemon/fleet/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Who is alive, and which configuration and which servers are in force.
+"""Membership of the fleet, and the configuration and servers in force.
 
-The keepers and owners ask here who keeps what; the daemon starts it. It must not know
-requests: what is wrong here for a while makes answers slower, never untrue.
+Keepers and owners look up here which instance is the keeper of a shard. The package
+must not depend on requests: a stale view may delay responses but not falsify them.
 """
--- a/packages/daemon/cassiaquay_daemon/fleet/budget_peers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/budget_peers.py
@@ -1,27 +1,27 @@
-"""How many instances may be spending from a budget of the whole fleet.
+"""Counts the instances that may be spending from a fleet-wide budget.
 
-Instances that fell silent may be alive on the other side of a partition and spend their
-part there. They count for a while after they were heard last.
+An instance that cannot be reached may still run on the other side of a partition and
+spend its share there, so it is counted for a while after it was last seen.
 """
 
 from .. import clock
 
-# Partitions of machines and switches end within this; counting the gone for longer
-# would keep budgets small after a real loss.
+# Partitions by failed machines and switches end within this time; counting lost
+# instances for longer would keep budgets too small after a permanent loss.
 RETENTION_S = 60.0
 
 
 class BudgetPeers:
-    """The most instances known of late."""
+    """Tracks the highest recent number of known instances."""
 
     def __init__(self) -> None:
-        self._most = 1
-        self._seen_at = clock.now()
+        self._highest = 1
+        self._highest_at = clock.now()
 
     def count(self, known: int) -> int:
-        """Return the count, given how many are known now."""
+        """Return the number of instances to divide by; ``known`` are known now."""
         now = clock.now()
-        if known >= self._most or now - self._seen_at > RETENTION_S:
-            self._most = max(known, 1)
-            self._seen_at = now
-        return self._most
+        if known >= self._highest or now - self._highest_at > RETENTION_S:
+            self._highest = max(known, 1)
+            self._highest_at = now
+        return self._highest
--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -1,7 +1,7 @@
-"""The configuration in force: read by a few instances, spread to all, never back.
+"""The configuration in force: a few instances read it and distribute it to the others.
 
-The platform's revision, and under one revision the digest of the text, order all
-texts; an instance only moves up. docs/design/configuration.md tells why.
+Texts are ordered by the platform's revision, then by the digest of the text; an
+instance never goes back to a lower one. docs/design/configuration.md explains why.
 """
 
 import asyncio
@@ -19,21 +19,22 @@
 from ..links import peers
 from . import members
 
-# This many instances of the fleet, and one of each failure domain, wait for news at
-# the service. The others look now and then, all together at most so often a second,
-# in case that the service cannot be reached from where the watchers are.
-WATCHERS = 3
+# This many instances of the fleet, and one of each failure domain, long-poll the
+# configuration service. The others poll it at the total rate given here, in case the
+# watchers cannot reach it.
+WATCHER_COUNT = 3
 OTHER_READS_PER_SECOND = 5.0
-RETRY_SECONDS = 0.3
-# A text is asked of one neighbour at a time, the next one after this long.
-ASK_SECONDS = 0.7
-# Reading a larger text takes so long that heartbeats and answers must go on meanwhile.
-THREAD_CHARACTERS = 32_768
-REMEMBERED_REJECTIONS = 16
+RETRY_S = 0.3
+# A text is requested from one neighbour at a time, from the next one after this time.
+REQUEST_TIMEOUT_S = 0.7
+# Larger texts are parsed in a thread: parsing one on the event loop would delay
+# heartbeats and responses.
+MIN_CHARACTERS_FOR_THREAD = 32_768
+MAX_REMEMBERED_REJECTIONS = 16
 
 
 class TextVersion(typing.NamedTuple):
-    """Place of a text in the order of all texts."""
+    """Version of a configuration text; versions compare by revision, then digest."""
 
     revision: int
     digest: int
@@ -48,14 +49,14 @@
 
 
 class Configuration:
-    """The accepted text and where newer ones come from.
+    """Holds the accepted text and fetches newer ones from the service and from peers.
 
     Parameters
     ----------
     settings : Settings
-        The platform's address and periods.
+        Address and polling periods of the platform.
     links : Peers
-        Connections over which texts spread.
+        Connections over which texts are exchanged.
     """
 
     def __init__(self, settings: settings_schema.Settings, links: peers.Peers):
@@ -64,96 +65,96 @@
         self._settings = settings
         self._reader = snapshots.readers.get(settings.platform.text_format)
         self._newest: snapshots.Snapshot | None = None
-        # The text in force as it was read, and the servers that registered since.
+        # The snapshot in force without registered servers, and those servers.
         self._in_force: snapshots.Snapshot | None = None
         self._servers: snapshots.Registered | None = None
-        self._position = NO_VERSION
-        self._refused: dict[TextVersion, str] = {}
-        self._before = ""
-        self._held = False
-        self._asked_at = 0.0
+        self._newest_version = NO_VERSION
+        self._rejected_versions: dict[TextVersion, str] = {}
+        self._previous_text = ""
+        self._is_held = False
+        self._requested_at = 0.0
         self._on_accept: list[collections.abc.Callable[[], object]] = []
         self._tasks: set[asyncio.Task[bool]] = set()
-        links.on(messages.ConfigurationQuery, self._query)
-        links.on(messages.ConfigurationText, self._text)
-        links.on(messages.ConfigurationChange, self._change)
+        links.on(messages.ConfigurationQuery, self._handle_query)
+        links.on(messages.ConfigurationText, self._handle_text)
+        links.on(messages.ConfigurationChange, self._handle_change)
 
     @property
     def revision(self) -> int:
-        """Revision in force, 0 before there is one."""
+        """Revision in force; 0 before the first one."""
         return self.current.revision if self.current else 0
 
     @property
-    def position(self) -> TextVersion:
-        """Place of the newest sound text, in force or held back."""
-        return self._position
+    def newest_version(self) -> TextVersion:
+        """Version of the newest valid text, in force or held back."""
+        return self._newest_version
 
     @property
     def digest(self) -> int:
-        """Digest of the newest sound text."""
-        return self._position.digest
+        """Digest of the newest valid text."""
+        return self._newest_version.digest
 
     def on_accept(self, call: collections.abc.Callable[[], object]) -> None:
         """Call ``call`` after each newly accepted text."""
         self._on_accept.append(call)
 
     def hold(self) -> None:
-        """Put nothing in force until :meth:`settle`.
+        """Put no text in force until :meth:`release`.
 
-        A starting instance that took the first text that it got would serve by an old
-        one when the service is stale, after its earlier life had served by a newer.
+        While the service is stale, a restarted instance that applied the first text it
+        received could serve by an older one than it did before the restart.
         """
-        self._held = True
+        self._is_held = True
 
-    def settle(self) -> None:
-        """Put the newest text that was found in force."""
-        self._held = False
+    def release(self) -> None:
+        """End :meth:`hold` and put the newest text received in force."""
+        self._is_held = False
         if self._newest is not None and self._newest is not self._in_force:
             self._put_in_force(self._newest)
 
     def set_registered_servers(self, registered: snapshots.Registered) -> None:
-        """Take the servers of each pool from their registrations."""
+        """Replace the servers of each pool by the registered ones."""
         self._servers = registered
         if self._in_force is not None:
             self._publish(self._in_force)
 
     def accept(self, revision: int, text: str) -> bool:
-        """Put a text in force when it is newer and sound; return whether it was."""
-        position = TextVersion(revision, digest_of(text))
-        if not self._is_news(position):
+        """Put a text in force when it is newer and valid; return whether it was."""
+        version = TextVersion(revision, digest_of(text))
+        if not self._is_newer(version):
             return False
-        return self._judge(position, text, _try_to_read(self._reader, revision, text))
+        return self._apply_parsed(version, text, _parse(self._reader, revision, text))
 
     async def offer(self, revision: int, text: str) -> bool:
-        """Do as :meth:`accept`, and let the process work on meanwhile."""
-        if len(text) < THREAD_CHARACTERS:
+        """Do the same as :meth:`accept`, but parse large texts in a thread."""
+        if len(text) < MIN_CHARACTERS_FOR_THREAD:
             return self.accept(revision, text)
-        position = TextVersion(revision, digest_of(text))
-        if not self._is_news(position):
+        version = TextVersion(revision, digest_of(text))
+        if not self._is_newer(version):
             return False
-        found = await asyncio.to_thread(_try_to_read, self._reader, revision, text)
-        return self._is_news(position) and self._judge(position, text, found)
+        found = await asyncio.to_thread(_parse, self._reader, revision, text)
+        return self._is_newer(version) and self._apply_parsed(version, text, found)
 
-    def wants(self, position: TextVersion) -> bool:
-        """Tell whether a text at this place would be news."""
-        return position > self._position and position not in self._refused
+    def should_fetch(self, version: TextVersion) -> bool:
+        """Return whether a text of this version is newer and not yet rejected."""
+        return version > self._newest_version and version not in self._rejected_versions
 
     def heard(self, link: peers.Link, beat: messages.Heartbeat) -> None:
-        """Ask a neighbour for its configuration when it is newer."""
-        if not self.wants(TextVersion(beat.revision, beat.digest)):
+        """Request a neighbour's configuration when its heartbeat shows a newer one."""
+        if not self.should_fetch(TextVersion(beat.revision, beat.digest)):
             return
-        if clock.now() - self._asked_at >= ASK_SECONDS:
+        if clock.now() - self._requested_at >= REQUEST_TIMEOUT_S:
             self.ask(link)
 
     def ask(self, link: peers.Link) -> None:
-        """Ask an instance for its configuration."""
-        self._asked_at = clock.now()
-        link.send(messages.ConfigurationQuery(*self._position))
+        """Request the configuration of another instance."""
+        self._requested_at = clock.now()
+        link.send(messages.ConfigurationQuery(*self._newest_version))
 
     async def watch(
         self, source: platform.ConfigurationService, membership: members.Membership
     ) -> None:
-        """Read the platform for ever, waiting there when among the watchers."""
+        """Read the service until cancelled: long-poll as a watcher, else poll."""
         while True:
             if self.is_watcher(membership) or self._newest is None:
                 await self.watch_once(source, self._settings.platform.watch_seconds)
@@ -170,78 +171,80 @@
     async def watch_once(
         self, source: platform.ConfigurationService, wait: float
     ) -> bool:
-        """Ask the service once; return whether it answered."""
+        """Read the service once; return whether it answered."""
         try:
-            news = await self.read_once(source, wait)
+            is_accepted = await self.read_once(source, wait)
         except exceptions.PlatformError as error:
             logs.detail("configuration_unreadable", cause=str(error))
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_S)
             return False
-        if news is False:
-            await asyncio.sleep(RETRY_SECONDS)
+        if is_accepted is False:
+            await asyncio.sleep(RETRY_S)
         return True
 
     async def read_once(
         self, source: platform.ConfigurationService, wait: float = 0.0
     ) -> bool | None:
-        """Ask the service once; return whether what it had was taken, None for none."""
-        known = max([self._position.revision, *self.rejected])
+        """Read the service once; return whether its text was accepted.
+
+        None when the service has no newer text.
+        """
+        known = max([self._newest_version.revision, *self.rejected])
         found = await source.watch(known, wait)
         if found is None:
             return None
         return await self.offer(found.revision, found.text)
 
     def is_watcher(self, membership: members.Membership) -> bool:
-        """Tell whether this instance waits for news at the service."""
+        """Return whether this instance long-polls the service."""
         domain = self._settings.domain
         names = []
-        near = []
+        same_domain = []
         for member in membership.alive():
             names.append(member.instance)
             if member.domain == domain:
-                near.append(member.instance)
+                same_domain.append(member.instance)
         ranked = rendezvous.rank("configuration watcher", names)
-        first_near = rendezvous.first("configuration watcher", near)
+        first_of_domain = rendezvous.first("configuration watcher", same_domain)
         name = self._settings.instance
-        return name in ranked[:WATCHERS] or name == first_near
-
-    def _is_news(self, position: TextVersion) -> bool:
-        if position.revision == self._position.revision != 0:
-            if position.digest != self._position.digest:
-                # Two texts under one revision: the platform broke its order. All
-                # instances must end with the same one; neither is the older, so the
-                # greater digest wins everywhere.
-                logs.trouble("configuration_conflict", revision=position.revision)
-        return self.wants(position)
-
-    def _judge(
+        return name in ranked[:WATCHER_COUNT] or name == first_of_domain
+
+    def _is_newer(self, version: TextVersion) -> bool:
+        if version.revision == self._newest_version.revision != 0:
+            if version.digest != self._newest_version.digest:
+                # The platform published two texts under one revision. All instances
+                # must converge on one of them, so the greater digest wins.
+                logs.trouble("configuration_conflict", revision=version.revision)
+        return self.should_fetch(version)
+
+    def _apply_parsed(
         self,
-        position: TextVersion,
+        version: TextVersion,
         text: str,
         found: snapshots.Snapshot | schema_exceptions.SchemaError,
     ) -> bool:
         if isinstance(found, schema_exceptions.SchemaError):
-            self._reject(position, found)
+            self._reject(version, found)
             return False
-        self._before = self._newest.text if self._newest else ""
+        self._previous_text = self._newest.text if self._newest else ""
         self._newest = found
-        self._position = position
-        if not self._held:
+        self._newest_version = version
+        if not self._is_held:
             self._put_in_force(found)
         return True
 
     def _reject(
-        self, position: TextVersion, error: schema_exceptions.SchemaError
+        self, version: TextVersion, error: schema_exceptions.SchemaError
     ) -> None:
-        self._refused[position] = str(error)
-        self.rejected[position.revision] = str(error)
-        while len(self._refused) > REMEMBERED_REJECTIONS:
-            del self._refused[min(self._refused)]
-        while len(self.rejected) > REMEMBERED_REJECTIONS:
+        self._rejected_versions[version] = str(error)
+        self.rejected[version.revision] = str(error)
+        while len(self._rejected_versions) > MAX_REMEMBERED_REJECTIONS:
+            del self._rejected_versions[min(self._rejected_versions)]
+        while len(self.rejected) > MAX_REMEMBERED_REJECTIONS:
             del self.rejected[min(self.rejected)]
         logs.trouble(
             "configuration_rejected",
-            revision=position.revision,
+            revision=version.revision,
             place=error.place,
             cause=str(error),
         )
@@ -258,38 +261,42 @@
         for call in self._on_accept:
             call()
 
-    def _query(self, link: peers.Link, query: messages.ConfigurationQuery) -> None:
+    def _handle_query(
+        self, link: peers.Link, query: messages.ConfigurationQuery
+    ) -> None:
         newest = self._newest
-        if newest is None or self._position <= TextVersion(*query):
+        if newest is None or self._newest_version <= TextVersion(*query):
             return
-        if query.digest and query.digest == digest_of(self._before):
-            # Most changes touch a few lines of a text of up to a megabyte.
-            change = changes.difference(self._before, newest.text)
+        if query.digest and query.digest == digest_of(self._previous_text):
+            # Most changes touch a few lines of a text of up to 1 MB: send the diff.
+            change = changes.difference(self._previous_text, newest.text)
             link.send(
                 messages.ConfigurationChange(
-                    newest.revision, self._position.digest, query.digest, *change
+                    newest.revision, self._newest_version.digest, query.digest, *change
                 )
             )
             return
         link.send(messages.ConfigurationText(newest.revision, newest.text))
 
-    def _text(self, link: peers.Link, found: messages.ConfigurationText) -> None:
-        self._offer_soon(found.revision, found.text)
+    def _handle_text(self, link: peers.Link, found: messages.ConfigurationText) -> None:
+        self._schedule_offer(found.revision, found.text)
 
-    def _change(self, link: peers.Link, found: messages.ConfigurationChange) -> None:
-        if not self.wants(TextVersion(found.revision, found.digest)):
+    def _handle_change(
+        self, link: peers.Link, found: messages.ConfigurationChange
+    ) -> None:
+        if not self.should_fetch(TextVersion(found.revision, found.digest)):
             return
-        if self._newest is not None and found.base == self._position.digest:
+        if self._newest is not None and found.base == self._newest_version.digest:
             change = changes.Change(found.start, found.end, found.part)
             text = changes.apply(self._newest.text, change)
             if digest_of(text) == found.digest:
-                self._offer_soon(found.revision, text)
+                self._schedule_offer(found.revision, text)
                 return
-        # The text has moved on meanwhile: ask for the whole.
+        # The diff does not apply to the text held here: request the whole text.
         link.send(messages.ConfigurationQuery(0, 0))
 
-    def _offer_soon(self, revision: int, text: str) -> None:
-        if len(text) < THREAD_CHARACTERS:
+    def _schedule_offer(self, revision: int, text: str) -> None:
+        if len(text) < MIN_CHARACTERS_FOR_THREAD:
             self.accept(revision, text)
             return
         task = asyncio.create_task(self.offer(revision, text))
@@ -297,7 +304,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _try_to_read(
+def _parse(
     reader: snapshots.Reader, revision: int, text: str
 ) -> snapshots.Snapshot | schema_exceptions.SchemaError:
     try:
@@ -305,6 +312,6 @@
     except schema_exceptions.SchemaError as error:
         return error
     except Exception as error:
-        # Whatever a text does to the reader, it may only be refused: a daemon that
-        # died of it would be started again and read it again, as would all others.
+        # A text that crashes the parser must only be rejected: otherwise every daemon
+        # would exit, restart and crash on the same text again.
         return schema_exceptions.SchemaError(f"the text cannot be read: {error!r}")
--- a/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
@@ -1,8 +1,8 @@
-"""The exchange of crash reports between instances.
+"""Exchanges reports of requests that crash servers between instances.
 
-News is flooded to all neighbours at once and reaches every instance within a few round
-trips. Heartbeats carry a digest of the table, so that an instance which was away, or
-lost a message with its connection, is sent the table.
+A changed report is flooded to all neighbours at once and reaches every instance within
+a few round trips. Heartbeats carry a digest of the table of reports; where it differs,
+for example after a restart or a lost connection, the whole table is sent.
 """
 
 import collections.abc
@@ -15,23 +15,23 @@
 from ..links import peers
 from . import members
 
-# Tables differ for a moment whenever one instance forgets sooner than another: they are
-# not sent with each heartbeat.
-RESEND_SECONDS = 1.0
+# Instances expire reports at slightly different times, so tables differ briefly; the
+# table is therefore not resent with each heartbeat.
+RESEND_INTERVAL_S = 1.0
 NEVER = float("-inf")
 
 
 class CrashReports:
-    """Keeps the quarantine of all instances alike.
+    """Keeps the quarantine tables of all instances in sync.
 
     Parameters
     ----------
     held : Quarantine
         The table of this instance.
     links : Peers
-        Connections to the others.
+        Connections to the other instances.
     membership : Membership
-        Who they are.
+        Supplies the neighbours and their heartbeats.
     is_first_start : bool
         Whether the whole fleet starts for the first time.
     """
@@ -48,14 +48,14 @@
         self._membership = membership
         self._sent_at: weakref.WeakKeyDictionary[peers.Link, float]
         self._sent_at = weakref.WeakKeyDictionary()
-        links.on(messages.CrashReports, self._received)
-        membership.on_heartbeat(self._heard)
+        links.on(messages.CrashReports, self._handle_reports)
+        membership.on_heartbeat(self._handle_heartbeat)
         membership.crashes_digest = lambda: held.digest
         if not is_first_start:
             held.has_forgotten = lambda: not membership.has_older_instances()
 
     def holds(self, content: str) -> bool:
-        """Return whether a request must be refused; its caller has just sent it."""
+        """Return whether a request is quarantined; note the refusal if it is."""
         if not self._quarantine.holds(content):
             return False
         self._quarantine.turned_away(content)
@@ -67,30 +67,30 @@
         was_held = self._quarantine.holds(content)
         if self._quarantine.crashed(content, server):
             self._log(content, was_held)
-            self._spread([content], "")
+            self._flood([content], "")
 
     def completed(self, content: str) -> None:
         """Report that a server completed a request of this instance."""
         was_held = self._quarantine.holds(content)
         if self._quarantine.completed(content):
             self._log(content, was_held)
-            self._spread([content], "")
+            self._flood([content], "")
 
-    def _received(self, link: peers.Link, found: messages.CrashReports) -> None:
-        news = []
+    def _handle_reports(self, link: peers.Link, found: messages.CrashReports) -> None:
+        changed = []
         for report in found.reports:
-            learned = quarantine.Report(
+            received = quarantine.Report(
                 report.content,
                 frozenset(report.servers),
                 report.cleared,
                 report.age_ms / 1000.0,
             )
             was_held = self._quarantine.holds(report.content)
-            if self._quarantine.learn(learned):
+            if self._quarantine.learn(received):
                 self._log(report.content, was_held)
-                news.append(report.content)
-        if news:
-            self._spread(news, link.instance)
+                changed.append(report.content)
+        if changed:
+            self._flood(changed, link.instance)
 
     def _log(self, content: str, was_held: bool) -> None:
         is_held = self._quarantine.holds(content)
@@ -102,18 +102,18 @@
         else:
             logs.event("request_released", content=content, crashes=crashes)
 
-    def _heard(self, link: peers.Link, beat: messages.Heartbeat) -> None:
+    def _handle_heartbeat(self, link: peers.Link, beat: messages.Heartbeat) -> None:
         if beat.crashes_digest == self._quarantine.digest:
             return
         now = clock.now()
-        if now - self._sent_at.get(link, NEVER) < RESEND_SECONDS:
+        if now - self._sent_at.get(link, NEVER) < RESEND_INTERVAL_S:
             return
         self._sent_at[link] = now
         reports = self._quarantine.reports()
         if reports:
             link.send(_message(reports))
 
-    def _spread(self, contents: list[str], sender: str) -> None:
+    def _flood(self, contents: list[str], sender: str) -> None:
         message = _message([self._quarantine.report(one) for one in contents])
         for instance, address in self._membership.neighbours().items():
             if instance == sender:
--- a/packages/daemon/cassiaquay_daemon/fleet/facts.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/facts.py
@@ -1,8 +1,8 @@
-"""What this instance knows of the others, and which of it is news to whom.
+"""The table of known members, in order of change so that only changes are sent.
 
-A fact is ordered by the start of its incarnation and its sequence. A suspicion holds
-against the sequence that it names and all before; only the suspected instance can
-refute it, by a higher one.
+Facts on a member are ordered by the start time of its incarnation (one run of its
+process) and their sequence number. A suspicion applies to the sequence number that it
+names and all lower ones; only the suspected instance can refute it, with a higher one.
 """
 
 import typing
@@ -13,10 +13,10 @@
 
 from .. import clock
 
-# A dead instance's last facts may still be on their way from slow peers. For this long
-# they are refused, so that nobody brings it back; nothing is under way longer.
+# Slow peers may still send facts on a forgotten instance. They are rejected for this
+# long, so that it does not reappear; no message is in transit longer.
 TOMBSTONE_SECONDS = 120.0
-# Instances that lose power together are up again within this time of each other.
+# Instances that restart after a common power loss start within this time of each other.
 START_SPREAD_SECONDS = 5.0
 
 Order = tuple[float, int]
@@ -29,34 +29,35 @@
     ----------
     member : Member
         The newest fact.
-    offset : float
-        This clock's time at which the member's process started, or a little later.
+    started_at : float
+        When the member's process started, on the local clock; transit time makes it a
+        little late.
     suspected_at : float or None
-        When it was suspected, on this clock.
+        When it was suspected, on the local clock.
     change : int
-        Number of the last change of this record, counted here.
+        Number of the last change of this record, from a local counter.
     """
 
     member: messages.Member
-    offset: float
+    started_at: float
     suspected_at: float | None
     change: int
 
     @property
     def order(self) -> Order:
-        """Place of the fact among all of this instance."""
+        """Sort key of the fact among all facts on the same instance."""
         return self.member.born, self.member.sequence
 
     @property
     def uptime(self) -> float:
-        """Seconds since the member's start; never more than they are there."""
-        return max(clock.now() - self.offset, 0.0)
+        """Seconds since the member's start; never more than its own count."""
+        return max(clock.now() - self.started_at, 0.0)
 
 
 class Facts:
-    """All records, the one changed last at the end.
+    """All records, the most recently changed one last.
 
-    ``changes`` counts their changes; ``digest`` is the same wherever the same is known.
+    ``changes`` counts their changes; equal tables have the same ``digest``.
     """
 
     def __init__(self) -> None:
@@ -71,7 +72,10 @@
         return self._records
 
     def has_older(self, uptime: float) -> bool:
-        """Return whether an unsuspected instance has run for clearly longer."""
+        """Return whether an unsuspected instance has run longer than ``uptime``.
+
+        Instances that may have started at the same time do not count.
+        """
         for record in self.records.values():
             if record.suspected_at is not None:
                 continue
@@ -80,62 +84,62 @@
         return False
 
     def learn(self, member: messages.Member) -> bool:
-        """Take a fact in; return whether it was news."""
+        """Store a fact if it is newer than the known one; return whether it was."""
         order = (member.born, member.sequence)
         known = self._records.get(member.instance)
         if known is not None and order <= known.order:
             return False
-        buried = self._tombstones.get(member.instance)
-        if buried is not None and order <= buried[0]:
+        tombstone = self._tombstones.get(member.instance)
+        if tombstone is not None and order <= tombstone[0]:
             return False
         self._tombstones.pop(member.instance, None)
-        self._put(Record(member, clock.now() - member.uptime, None, 0))
+        self._store(Record(member, clock.now() - member.uptime, None, 0))
         return True
 
     def suspect(self, suspicion: messages.Suspicion) -> bool:
-        """Take a suspicion in; return whether it was news."""
+        """Mark a member as suspected; return whether that changed its record."""
         known = self._records.get(suspicion.instance)
         if known is None or known.suspected_at is not None:
             return False
         if (suspicion.born, suspicion.sequence) < known.order:
             return False
-        self._put(known._replace(suspected_at=clock.now()))
+        self._store(known._replace(suspected_at=clock.now()))
         return True
 
     def suspicion_of(self, instance: str) -> messages.Suspicion | None:
-        """Return what an instance must refute to be taken for alive here."""
+        """Return the suspicion that an instance must refute to be alive here."""
         known = self._records.get(instance)
         if known is not None and known.suspected_at is not None:
             return messages.Suspicion(instance, *known.order)
-        buried = self._tombstones.get(instance)
-        if known is None and buried is not None:
-            return messages.Suspicion(instance, *buried[0])
+        tombstone = self._tombstones.get(instance)
+        if known is None and tombstone is not None:
+            return messages.Suspicion(instance, *tombstone[0])
         return None
 
     def note_revision(self, instance: str, revision: int) -> None:
-        """Note a configuration revision; it is no news that spreads."""
+        """Note a member's configuration revision without counting it as a change."""
         known = self._records.get(instance)
         if known is not None and known.member.revision and revision:
             member = known.member._replace(revision=revision)
             self._records[instance] = known._replace(member=member)
 
     def forget(self, seconds: float) -> list[str]:
-        """Bury those suspected for ``seconds``; return their names."""
+        """Remove members suspected for ``seconds``; return their names."""
         now = clock.now()
-        dead = []
+        forgotten = []
         for name, record in list(self._records.items()):
             if record.suspected_at is None or now - record.suspected_at < seconds:
                 continue
             del self._records[name]
-            self.digest ^= _mark(record)
+            self.digest ^= _digest_of(record)
             self._tombstones[name] = (record.order, now)
-            dead.append(name)
+            forgotten.append(name)
         for name, (_, at) in list(self._tombstones.items()):
             if now - at > TOMBSTONE_SECONDS:
                 del self._tombstones[name]
-        return dead
+        return forgotten
 
-    def news(self, change: int) -> list[Record]:
+    def changed_since(self, change: int) -> list[Record]:
         """Return the records changed after ``change``, in the order of change."""
         found = []
         for record in reversed(self._records.values()):
@@ -145,24 +149,24 @@
         found.reverse()
         return found
 
-    def _put(self, record: Record) -> None:
+    def _store(self, record: Record) -> None:
         self.changes += 1
         old = self._records.pop(record.member.instance, None)
         if old is not None:
-            self.digest ^= _mark(old)
-        self.digest ^= _mark(record)
+            self.digest ^= _digest_of(old)
+        self.digest ^= _digest_of(record)
         self._records[record.member.instance] = record._replace(change=self.changes)
 
 
-def told(record: Record) -> messages.Member:
-    """Return a member's fact as it is sent on, with its uptime of now.
+def with_current_uptime(record: Record) -> messages.Member:
+    """Return a member's fact for sending, with its current uptime.
 
-    Tokens are made from it by every instance: a fact that lay here for an hour would
-    give tokens that expired an hour ago.
+    Receivers compute the expiry of the member's tokens from the uptime: with one that
+    was stored an hour ago, new tokens would have expired an hour ago.
     """
     return record.member._replace(uptime=record.uptime)
 
 
-def _mark(record: Record) -> int:
+def _digest_of(record: Record) -> int:
     state = (record.member.instance, record.order, record.suspected_at is not None)
     return xxhash.xxh3_64_intdigest(repr(state).encode())
--- a/packages/daemon/cassiaquay_daemon/fleet/freshness.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/freshness.py
@@ -1,21 +1,21 @@
-"""How new an instance's list of backend servers is, as heartbeats tell it."""
+"""How recent an instance's list of backend servers is, as sent in heartbeats."""
 
 import typing
 
 
 class Freshness(typing.NamedTuple):
-    """Revision, age and content of a list of backend servers.
+    """Revision, age and content digest of a list of backend servers.
 
     Attributes
     ----------
     revision : int
-        Revision of the platform at the last read; 0 for none.
+        Revision of the platform at the last read; 0 before the first read.
     age_ms : int
         Milliseconds since that read.
     digest : int
-        Digest of what decides about the use of the servers.
+        Digest of the fields that decide which servers are used.
     steady_ms : int
-        For how long the list has been confirmed without a gap, in milliseconds.
+        Milliseconds for which the list has been confirmed current without a gap.
     """
 
     revision: int = 0
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -1,7 +1,7 @@
-"""Membership: which instances live, who is the keeper of what.
+"""Membership: which instances are alive, and which one is the keeper of each shard.
 
-Nothing that must be correct rests on it: a wrong view makes a second keeper or a
-needless relay, never a second dispatch. docs/design/membership.md tells why it is so.
+Correctness does not depend on it: a wrong view causes a second keeper or a needless
+relay, never a second dispatch. docs/design/membership.md explains why.
 """
 
 import asyncio
@@ -16,33 +16,33 @@
 from ..links import peers
 from . import budget_peers, facts, freshness, spread, watching
 
-# Load is told of when it has moved by this much: enough to spread callers, and rare
-# enough that hundreds of instances do not fill the budget with it.
+# A load is sent when it has moved by a step plus a share of the old one, at most once
+# per interval: hundreds of instances balance callers so within the gossip budget.
 LOAD_STEP = 4.0
-LOAD_SHARE = 0.5
-LOAD_SECONDS = 2.0
-# Regions lose each other for an hour; after twice that, what is not listed is gone.
-RETRY_SECONDS = 7200.0
+LOAD_STEP_SHARE = 0.5
+LOAD_INTERVAL_S = 2.0
+# Partitions of regions last up to an hour; unlisted instances are redialled for two.
+LOST_RETENTION_S = 7200.0
 
 
-class _Lost(typing.NamedTuple):
-    """A buried instance: where it was, and since when it is lost."""
+class _LostMember(typing.NamedTuple):
+    """Address of a suspected or forgotten instance, and when it was last suspected."""
 
     address: str
     since: float
 
 
 class Membership:
-    """The instances that this one knows.
+    """The other instances known to this one, and its own state as sent to them.
 
     Parameters
     ----------
     settings : Settings
         Names, addresses and periods.
     incarnation : str
-        This life of the process.
+        Identifies this run of the process.
     links : Peers
-        Connections to the others.
+        Connections to the other instances.
     mint : callable
         Returns a fresh address token of this instance.
     measure : callable
@@ -75,29 +75,29 @@
         self._started = clock.now()
         self._born = time.time()
         self._sequence = 0
-        self._number = 0
+        self._round = 0
         self._load = 0.0
         self._load_at = clock.now()
         self._budget_peers = budget_peers.BudgetPeers()
-        self._lost: dict[str, _Lost] = {}
-        self._spread = spread.Gossip(
+        self._lost: dict[str, _LostMember] = {}
+        self._gossip = spread.Gossip(
             settings.instance, self.facts, settings.membership.spread_bytes
         )
-        self._watching = watching.FailureDetector(settings, self.facts, self._send_to)
-        self._on_heard: list[
+        self._detector = watching.FailureDetector(settings, self.facts, self._send_to)
+        self._on_heartbeat: list[
             collections.abc.Callable[[peers.Link, messages.Heartbeat], None]
         ] = []
         self._on_change: list[collections.abc.Callable[[], None]] = []
-        self._before: set[str] = set()
+        self._reported: set[str] = set()
         self._serving: list[messages.Member] | None = None
         self._neighbours: dict[str, str] | None = None
-        self._unnoticed = True
+        self._has_unreported_changes = True
         self._keepers: dict[str, str] = {}
-        links.on(messages.Heartbeat, self._heartbeat)
-        links.on(messages.Suspicion, self._suspicion)
-        links.on(messages.Probe, self._watching.probe)
-        links.on(messages.Heard, self._watching.heard)
-        links.on_down(self._watching.lost)
+        links.on(messages.Heartbeat, self._on_beat)
+        links.on(messages.Suspicion, self._on_suspicion)
+        links.on(messages.Probe, self._detector.probe)
+        links.on(messages.Heard, self._detector.heard)
+        links.on_down(self._detector.lost)
 
     @property
     def listed(self) -> dict[str, platform.Listed]:
@@ -107,15 +107,15 @@
     @listed.setter
     def listed(self, lines: dict[str, platform.Listed]) -> None:
         self._listed = lines
-        self._changed()
+        self._invalidate_caches()
 
     @property
     def me(self) -> messages.Member:
-        """What the others know of this instance."""
+        """The current fact on this instance, as sent to the others."""
         return self.update()
 
-    def update(self, again: bool = False) -> messages.Member:
-        """Look at this instance anew; a fact that differs, or ``again``, is news."""
+    def update(self, force: bool = False) -> messages.Member:
+        """Refresh this instance's own fact; issue a new one on change or ``force``."""
         load, revision = self._measure()
         self._note_load(load)
         settings = self._settings
@@ -134,30 +134,30 @@
             clock.now() - self._started,
         )
         known = self.facts.records.get(settings.instance)
-        if known is not None and not again and _same(known.member, fact):
+        if known is not None and not force and _has_same_state(known.member, fact):
             return fact
         self._sequence += 1
         fact = fact._replace(sequence=self._sequence)
         self.facts.learn(fact)
-        self._changed()
+        self._invalidate_caches()
         return fact
 
     def adopt(self, settings: settings_schema.Settings) -> None:
-        """Take in changed settings: the seeds."""
+        """Apply changed settings; only the seeds can change at run time."""
         self._seeds = settings.seeds
 
     def on_heartbeat(
         self, call: collections.abc.Callable[[peers.Link, messages.Heartbeat], None]
     ) -> None:
         """Call ``call`` with each heartbeat and the link that it came over."""
-        self._on_heard.append(call)
+        self._on_heartbeat.append(call)
 
     def on_change(self, call: collections.abc.Callable[[], None]) -> None:
-        """Call ``call`` when an instance has come, gone or begun to leave."""
+        """Call ``call`` when an instance has joined, gone or begun to leave."""
         self._on_change.append(call)
 
     def alive(self) -> list[messages.Member]:
-        """Return the members that nobody suspects, this one included."""
+        """Return the members that are not suspected, including this one."""
         found = [self.me]
         for name, record in self.facts.records.items():
             if record.suspected_at is None and name != self._settings.instance:
@@ -165,11 +165,11 @@
         return found
 
     def serving(self) -> list[messages.Member]:
-        """Return the live members that have a configuration and do not leave."""
+        """Return the live members that have a configuration and are not leaving."""
         if self._serving is None:
             found = []
             for member in self.alive():
-                if member.revision and not self._leaves(member):
+                if member.revision and not self._is_member_leaving(member):
                     found.append(member)
             self._serving = found
         return self._serving
@@ -188,20 +188,20 @@
         return self.facts.records[instance].uptime
 
     def has_older_instances(self) -> bool:
-        """Return whether an instance is alive that ran before this one started."""
+        """Return whether a live instance was running before this one started."""
         return self.facts.has_older(clock.now() - self._started)
 
     def fleet_size(self) -> int:
-        """Return how many instances may spend from a budget of the whole fleet."""
+        """Return how many instances may spend from a fleet-wide budget."""
         return self._budget_peers.count(max(len(self.facts.records), len(self._seeds)))
 
     def last_known(self, instance: str) -> messages.Member | None:
-        """Return what was heard last of another instance, also when silent now."""
+        """Return the last known fact on an instance, even if it is suspected."""
         record = self.facts.records.get(instance)
         return record.member if record is not None else None
 
     def is_leaving(self, name: str) -> bool:
-        """Tell whether the instance list shows an instance or server as leaving."""
+        """Return whether the instance list marks an instance or server as leaving."""
         line = self.listed.get(name)
         return line is not None and line.leaving
 
@@ -215,37 +215,37 @@
         return self._keepers[shard]
 
     def link(self, instance: str) -> peers.Link | None:
-        """Return a link to a member, dialling when there is none."""
+        """Return the link to a member; without one, start dialling and return None."""
         known = self.facts.records.get(instance)
         if known is None:
             return None
         return self._links.link(instance, known.member.peer)
 
     def neighbours(self) -> dict[str, str]:
-        """Return the peer addresses of the instances that get heartbeats, by name."""
+        """Return the peer addresses of the instances to send heartbeats to, by name."""
         if self._neighbours is None:
-            self._neighbours = self._choose()
+            self._neighbours = self._choose_neighbours()
         return self._neighbours
 
-    async def beat(self) -> None:
-        """Send heartbeats for ever."""
+    async def send_heartbeats(self) -> None:
+        """Send heartbeats until cancelled."""
         while True:
             self.send_heartbeats_once()
             await asyncio.sleep(self._settings.membership.period)
 
     def send_heartbeats_once(self) -> None:
-        """Send one round of heartbeats and judge who is silent."""
-        self._number += 1
+        """Send one round of heartbeats and suspect silent members."""
+        self._round += 1
         self._send()
-        self._watching.expect(self.neighbours())
-        self._watching.judge()
+        self._detector.expect(self.neighbours())
+        self._detector.judge()
         for name in self.facts.forget(self._settings.membership.forget_after):
             logs.event("member_forgotten", member=name)
-        self._notice()
+        self._report_changes()
         self._links.close_idle()
 
     async def read_list(self, source: platform.InstanceList) -> None:
-        """Read the platform's instance list for ever."""
+        """Read the platform's instance list periodically until cancelled."""
         while True:
             await self.read_list_once(source)
             await asyncio.sleep(self._settings.platform.instances_period)
@@ -255,52 +255,52 @@
         try:
             lines = await source.read()
         except exceptions.PlatformError as error:
-            # The last list stays in use: heartbeats carry membership meanwhile.
+            # The last list stays in use; heartbeats still carry membership changes.
             logs.detail("instance_list_unreadable", cause=str(error))
             return
         found = {line.name: line for line in lines}
         if found != self._listed:
             self.listed = found
-        self._notice()
+        self._report_changes()
 
     def announce_leaving(self) -> None:
-        """Tell the neighbours at once that this instance leaves."""
+        """Tell the neighbours at once that this instance is leaving."""
         self.leaving = True
         self._send()
-        self._notice()
+        self._report_changes()
 
     def learn(self, member: messages.Member) -> None:
-        """Take in a fact from a peer."""
+        """Store a fact received from a peer."""
         if member.instance == self._settings.instance:
             if member.incarnation != self._incarnation and member.born > self._born:
                 logs.trouble("instance_name_used_twice", by=member.incarnation)
             return
         if self.facts.learn(member):
             self._lost.pop(member.instance, None)
-            self._changed()
+            self._invalidate_caches()
 
-    def told(self) -> list[messages.Member]:
-        """Return the facts of all unsuspected members, as they are sent on."""
+    def facts_to_send(self) -> list[messages.Member]:
+        """Return the facts on all unsuspected members, with current uptimes."""
         found = []
         for record in self.facts.records.values():
             if record.suspected_at is None:
-                found.append(facts.told(record))
+                found.append(facts.with_current_uptime(record))
         return found
 
     def restart_silence_timers(self) -> None:
-        """Judge nobody by the silence during this process's own pause."""
-        self._watching.restart()
+        """Ignore the silence of other instances during this process's own pause."""
+        self._detector.restart()
 
     def _send(self) -> None:
-        # This instance's own fact is among the records that are spread.
+        # The gossip includes this instance's own fact, so refresh it first.
         self.update()
         _, revision = self._measure()
         listed = self.servers_state()
         for link in self._links_to_use():
-            portion = self._spread.portion(link)
+            portion = self._gossip.portion(link)
             link.send(
                 messages.Heartbeat(
-                    self._number,
+                    self._round,
                     revision,
                     self.digest(),
                     portion.members,
@@ -315,7 +315,7 @@
                 )
             )
 
-    def _choose(self) -> dict[str, str]:
+    def _choose_neighbours(self) -> dict[str, str]:
         addresses: dict[str, str] = {}
         for line in self._listed.values():
             if line.kind == "entry" and line.peer and line.name not in self._lost:
@@ -325,7 +325,7 @@
                 addresses[name] = record.member.peer
         addresses.pop(self._settings.instance, None)
         if not addresses:
-            # Its own address may be among the seeds of the whole fleet.
+            # The seeds are common to the fleet and may include this instance.
             for seed in self._seeds:
                 if seed != self._links.address:
                     addresses[f"{peers.SEED}{seed}"] = seed
@@ -336,36 +336,36 @@
     def _links_to_use(self) -> list[peers.Link]:
         found = []
         chosen = self.neighbours()
-        for instance, address in [*chosen.items(), *self._retry()]:
+        for instance, address in [*chosen.items(), *self._lost_to_redial()]:
             link = self._links.link(instance, address)
             if link is not None:
                 found.append(link)
-        # Whoever chose this instance gets heartbeats back on the same link: else one
-        # that happens to be chosen by nobody would send and never hear anything. Not
-        # on links that were dialled from here, for a choice that is over: both would
-        # take the other's answer for a choice and go on for ever, and after a start
-        # half the fleet would exchange heartbeats with the other half.
-        for link in self._watching.callers():
+        # Instances that send heartbeats here get them back on the same link: one that
+        # no other instance chose as neighbour would otherwise receive none. Links
+        # dialled from here to a former neighbour are left out: each side would take
+        # the replies for a choice and keep replying, and after a fleet start half of
+        # the instances would exchange heartbeats with the other half.
+        for link in self._detector.callers():
             if link.instance not in chosen:
                 found.append(link)
         return found
 
-    def _retry(self) -> list[tuple[str, str]]:
-        # Two sides of a healed partition have buried each other and would both wait:
-        # one buried instance after another is tried again.
+    def _lost_to_redial(self) -> list[tuple[str, str]]:
+        # After a partition both sides have forgotten each other and neither would
+        # dial: try one lost instance per round.
         now = clock.now()
         for name, record in self.facts.records.items():
             if record.suspected_at is not None:
                 if name not in self._lost:
                     self._neighbours = None
-                self._lost[name] = _Lost(record.member.peer, now)
+                self._lost[name] = _LostMember(record.member.peer, now)
         for name, lost in list(self._lost.items()):
-            if now - lost.since > RETRY_SECONDS and name not in self._listed:
+            if now - lost.since > LOST_RETENTION_S and name not in self._listed:
                 del self._lost[name]
         if not self._lost:
             return []
         names = sorted(self._lost)
-        name = names[self._number % len(names)]
+        name = names[self._round % len(names)]
         return [(name, self._lost[name].address)]
 
     def _send_to(self, instance: str, message: messages.Message) -> None:
@@ -373,78 +373,77 @@
         if link is not None:
             link.send(message)
 
-    def _heartbeat(self, link: peers.Link, beat: messages.Heartbeat) -> None:
+    def _on_beat(self, link: peers.Link, beat: messages.Heartbeat) -> None:
         for member in beat.members:
             self.learn(member)
         for suspicion in beat.suspicions:
-            self._suspicion(link, suspicion)
-        self._spread.compare(link.instance, beat.table)
-        self._watching.beat(link)
+            self._on_suspicion(link, suspicion)
+        self._gossip.compare(link.instance, beat.table)
+        self._detector.beat(link)
         self.facts.note_revision(link.instance, beat.revision)
-        doubt = self.facts.suspicion_of(link.instance)
-        if doubt is not None:
-            # It lives and does not know that it is taken for dead here.
-            link.send(doubt)
-        for call in self._on_heard:
+        to_refute = self.facts.suspicion_of(link.instance)
+        if to_refute is not None:
+            # The sender is alive but suspected here, and can refute the suspicion.
+            link.send(to_refute)
+        for call in self._on_heartbeat:
             call(link, beat)
-        self._notice()
+        self._report_changes()
 
-    def _suspicion(self, link: peers.Link, suspicion: messages.Suspicion) -> None:
+    def _on_suspicion(self, link: peers.Link, suspicion: messages.Suspicion) -> None:
         if suspicion.instance != self._settings.instance:
             if self.facts.suspect(suspicion):
-                self._changed()
+                self._invalidate_caches()
             return
         if suspicion.born == self._born and suspicion.sequence >= self._sequence:
             self._sequence = suspicion.sequence
-            self.update(again=True)
+            self.update(force=True)
 
-    def _leaves(self, member: messages.Member) -> bool:
+    def _is_member_leaving(self, member: messages.Member) -> bool:
         if member.leaving:
             return True
         line = self._listed.get(member.instance)
-        # The list lags: a line with another address is of an earlier life. Where the
-        # list says "leaving" of this life, the platform takes it away soon, whatever
-        # its heartbeats say; being wrong costs a moment's capacity, no request.
+        # The list lags: a line with another address is of an earlier incarnation. If
+        # this one is listed as leaving, the platform removes it soon, whatever its
+        # heartbeats say; a wrong guess costs capacity for a moment, but no request.
         return line is not None and line.leaving and line.http == member.http
 
     def _note_load(self, load: float) -> None:
         now = clock.now()
-        moved = abs(load - self._load)
-        if moved <= LOAD_STEP + LOAD_SHARE * self._load:
+        difference = abs(load - self._load)
+        if difference <= LOAD_STEP + LOAD_STEP_SHARE * self._load:
             return
-        if now - self._load_at < LOAD_SECONDS:
+        if now - self._load_at < LOAD_INTERVAL_S:
             return
         self._load = load
         self._load_at = now
 
-    def _changed(self) -> None:
+    def _invalidate_caches(self) -> None:
         self._serving = None
         self._neighbours = None
-        self._unnoticed = True
+        self._has_unreported_changes = True
         self._keepers.clear()
 
-    def _notice(self) -> None:
-        if self._watching.take_changes():
-            self._changed()
-        if not self._unnoticed:
-            # Nothing has changed since the last look; with hundreds of members and
-            # dozens of heartbeats a second, looking again would cost too much.
+    def _report_changes(self) -> None:
+        if self._detector.take_changes():
+            self._invalidate_caches()
+        if not self._has_unreported_changes:
+            # Dozens of heartbeats a second: too many to compare hundreds of members.
             return
-        self._unnoticed = False
-        now = {f"{m.instance}/{m.incarnation}" for m in self.serving()}
-        if now == self._before:
+        self._has_unreported_changes = False
+        current = {f"{m.instance}/{m.incarnation}" for m in self.serving()}
+        if current == self._reported:
             return
-        come = sorted(now - self._before)
-        gone = sorted(self._before - now)
-        logs.event("members", count=len(now), come=come, gone=gone)
-        self._before = now
+        joined = sorted(current - self._reported)
+        gone = sorted(self._reported - current)
+        logs.event("members", count=len(current), come=joined, gone=gone)
+        self._reported = current
         for call in self._on_change:
             call()
 
 
-def _same(one: messages.Member, other: messages.Member) -> bool:
-    # The revision travels with heartbeats: told of as a fact, each change of the
-    # configuration would make one of every instance.
+def _has_same_state(one: messages.Member, other: messages.Member) -> bool:
+    # Heartbeats carry the revision: if it counted here, each configuration change
+    # would produce a new fact on every instance.
     if bool(one.revision) != bool(other.revision):
         return False
     return one == other._replace(uptime=one.uptime, revision=one.revision)
--- a/packages/daemon/cassiaquay_daemon/fleet/outages.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/outages.py
@@ -1,27 +1,28 @@
-"""Whether the platform was away, or only this instance.
+"""Tells outages of the platform from pauses or isolation of this instance.
 
-Registrations run out while the platform is away, and their servers live on. They do not
-run out while this process is paused or cut off: what is missing then has left.
+Registrations expire during an outage of the platform, though their servers still run.
+They do not expire while only this process is paused or cut off: a server that is
+missing from the list after that has left.
 """
 
 from .. import logs
 
-# Registrations run out after three of their periods of 1.2 s: a shorter gap between two
-# confirmations of the list costs none of them.
-AWAY_SECONDS = 2.0
-# Registrations that ran out are back within two seconds of the platform's return.
-RETURN_SECONDS = 2.2
+# Registrations expire after three periods of 1.2 s, so none expires during a shorter
+# gap between two confirmations of the list.
+MIN_OUTAGE_S = 2.0
+# Servers register again within two seconds of the platform's return.
+REREGISTRATION_S = 2.2
 NEVER = float("-inf")
 
 
 class Outages:
-    """When the platform was last back from an outage; seconds on this clock."""
+    """Records when the platform last returned; times are seconds on the local clock."""
 
     def __init__(self) -> None:
         self._confirmed_at = NEVER
         self._steady_since = NEVER
         self._failed_at = NEVER
-        self._back_at = NEVER
+        self._returned_at = NEVER
 
     @property
     def confirmed_at(self) -> float:
@@ -30,43 +31,49 @@
 
     @property
     def steady_since(self) -> float:
-        """Since when the list was confirmed without a gap."""
+        """Since when the list has been confirmed without a gap."""
         return self._steady_since
 
     @property
     def retained_until(self) -> float:
-        """Missing servers are kept until a list that was read at this time."""
-        return self._back_at + RETURN_SECONDS
+        """Read time of a list from which on missing servers are dropped."""
+        return self._returned_at + REREGISTRATION_S
 
-    def failed(self, began_at: float) -> None:
-        """Note a read that was not answered."""
+    def note_failure(self, began_at: float) -> None:
+        """Note a failed read of the list."""
         self._failed_at = max(self._failed_at, began_at)
 
-    def took(self, read_at: float) -> None:
-        """Note a list; where reads failed during a gap, the platform is back."""
-        away = read_at - self._confirmed_at
-        if self._confirmed_at == NEVER or away <= AWAY_SECONDS:
+    def note_read(self, read_at: float) -> None:
+        """Note a list that was read.
+
+        A gap in which reads failed was an outage, from which the platform has returned.
+        """
+        gap_s = read_at - self._confirmed_at
+        if self._confirmed_at == NEVER or gap_s <= MIN_OUTAGE_S:
             return
-        if self._back_at > self._confirmed_at or self._failed_at < self._confirmed_at:
+        if (
+            self._returned_at > self._confirmed_at
+            or self._failed_at < self._confirmed_at
+        ):
             return
-        self._back_at = read_at
-        logs.event("platform_returned", away_ms=round(away * 1000))
+        self._returned_at = read_at
+        logs.event("platform_returned", away_ms=round(gap_s * 1000))
 
-    def confirmed(self, read_at: float) -> None:
-        """Note that the list was current."""
-        if read_at - self._confirmed_at > AWAY_SECONDS:
+    def confirm(self, read_at: float) -> None:
+        """Note that the list was confirmed current at a time."""
+        if read_at - self._confirmed_at > MIN_OUTAGE_S:
             self._steady_since = read_at
         self._confirmed_at = max(self._confirmed_at, read_at)
 
-    def heard(self, steady_since: float, confirmed_at: float) -> None:
-        """Note between which times another instance's list was confirmed without a gap.
+    def note_peer_interval(self, steady_since: float, confirmed_at: float) -> None:
+        """Note that another instance's list was confirmed without a gap in an interval.
 
-        An instance that was cut off from the platform and from the others cannot tell
-        its own gap from an outage; those that were in touch can.
+        An instance that was cut off from the platform and from its peers cannot tell
+        its own gap from an outage; instances that could reach the platform can.
         """
-        # An older confirmation may be of before an outage that both have seen.
-        if confirmed_at <= self._back_at - AWAY_SECONDS:
+        # An older confirmation may date from before an outage that both have seen.
+        if confirmed_at <= self._returned_at - MIN_OUTAGE_S:
             return
-        if steady_since < self._back_at:
-            self._back_at = steady_since
+        if steady_since < self._returned_at:
+            self._returned_at = steady_since
             logs.event("platform_was_reachable")
--- a/packages/daemon/cassiaquay_daemon/fleet/renewal.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/renewal.py
@@ -1,7 +1,7 @@
-"""What an instance learns before it acts: at its start, and after each pause.
+"""Refreshes an instance's state before it serves, at its start and after each pause.
 
-It asks the platform and its neighbours. Only answers to questions asked now count:
-what lies in the buffers of its connections was sent during the pause.
+It queries the platform and its neighbours. Only answers to queries sent after the pause
+count, because messages in connection buffers were sent during the pause.
 """
 
 import asyncio
@@ -13,33 +13,32 @@
 from ..links import peers
 from . import configuration, members
 
-POLL_SECONDS = 0.02
-# Neighbours have so long to answer once the platform has. Those that live answer within
-# some milliseconds. While a whole fleet starts, the neighbours of an instance change
-# with each one that it hears of, and waiting for all of them takes seconds in which
-# every caller is refused.
-NEIGHBOURS_SECONDS = 0.3
+POLL_INTERVAL_S = 0.02
+# Neighbours have this long to answer if the platform answers first; live ones take some
+# milliseconds. During a fleet start an instance's neighbours change with each instance
+# that it discovers, and waiting for all would refuse every caller for seconds.
+NEIGHBOUR_TIMEOUT_S = 0.3
 
 
 class Renewal:
-    """Asks what is true now, whenever this instance may not know.
+    """Queries the platform and the neighbours whenever local state may be stale.
 
     Parameters
     ----------
     settings : Settings
         How long to wait for answers.
     pauses : Pauses
-        Holds this instance back meanwhile.
+        Keeps this instance from serving until the refresh is done.
     links : Peers
-        Connections to the others.
+        Connections to the other instances.
     membership : Membership
-        Whom to ask; learns from the answers.
+        Supplies the neighbours; updated from their answers.
     configured : Configuration
-        Learns from the answers.
+        Updated from the answers.
     service : ConfigurationService
-        Asked too.
+        The platform's configuration service.
     listing : InstanceList
-        Read first, to know whom to ask.
+        The platform's instance list, read first to find the neighbours.
     """
 
     def __init__(
@@ -61,26 +60,26 @@
         self._listing = listing
         self._number = 0
         self._answers: dict[str, messages.Refreshed] = {}
-        self._needed = asyncio.Event()
-        links.on(messages.Refresh, self._refresh)
-        links.on(messages.Refreshed, self._refreshed)
-        pauses.on_resume(self._needed.set)
+        self._is_refresh_needed = asyncio.Event()
+        links.on(messages.Refresh, self._handle_refresh)
+        links.on(messages.Refreshed, self._handle_refreshed)
+        pauses.on_resume(self._is_refresh_needed.set)
 
     def start(self) -> None:
-        """Hold this instance back, as it is at its start."""
+        """Hold this instance back and request a first refresh."""
         self._pauses.hold()
         self._configured.hold()
-        self._needed.set()
+        self._is_refresh_needed.set()
 
     async def run(self) -> None:
-        """Renew whenever it is needed, for ever."""
+        """Refresh after a start or a pause, until cancelled."""
         while True:
-            await self._needed.wait()
-            self._needed.clear()
-            await self._renew()
-            if self._needed.is_set():
+            await self._is_refresh_needed.wait()
+            self._is_refresh_needed.clear()
+            await self._refresh_once()
+            if self._is_refresh_needed.is_set():
                 continue
-            self._configured.settle()
+            self._configured.release()
             self._membership.update()
             self._pauses.release()
             logs.event(
@@ -89,90 +88,92 @@
                 revision=self._configured.revision,
             )
 
-    async def _renew(self) -> None:
+    async def _refresh_once(self) -> None:
         self._number += 1
         self._answers = {}
         began = clock.now()
         tried = asyncio.Event()
-        service = asyncio.create_task(self._ask_platform(tried))
+        service = asyncio.create_task(self._query_platform(tried))
         try:
             async with asyncio.timeout(self._seconds):
                 await self._membership.read_list_once(self._listing)
-                await self._hear_peers(service, began)
-                # A text that one of them has and the platform does not is waited for:
-                # the platform may be behind, and an older text must not come back.
-                await self._take_highest()
+                await self._wait_for_peers(service, began)
+                # A peer may have a newer text than a stale platform: wait for it, so
+                # that no older text comes into force again.
+                await self._fetch_newest_text()
                 await (tried.wait() if self._answers else service)
         except TimeoutError:
-            # Whoever has not answered by now may be dead, or on the other side of a
-            # partition; waiting on would stop this side too.
+            # Peers that did not answer may have failed or be partitioned off; waiting
+            # longer would only take this instance out of service too.
             logs.trouble("renewal_incomplete", peers=len(self._answers))
         finally:
             service.cancel()
 
-    async def _ask_platform(self, tried: asyncio.Event) -> None:
-        """Ask until the platform answers; say so when it has been asked once.
+    async def _query_platform(self, tried: asyncio.Event) -> None:
+        """Query until the platform answers; set ``tried`` after the first attempt.
 
-        It loses answers, and while a whole fleet starts nobody else can tell.
+        Answers get lost, and during a fleet start no other source has the text.
         """
         while not await self._configured.watch_once(self._service, 0.0):
             tried.set()
         tried.set()
 
-    async def _hear_peers(self, service: asyncio.Task[None], began: float) -> None:
-        """Ask neighbours; stop waiting for their answers when the platform has told."""
-        asking = asyncio.create_task(self._ask_peers(began))
+    async def _wait_for_peers(self, service: asyncio.Task[None], began: float) -> None:
+        """Query the neighbours; once the platform has answered, wait only briefly."""
+        peers_task = asyncio.create_task(self._query_peers(began))
         try:
-            await asyncio.wait([asking, service], return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                [peers_task, service], return_when=asyncio.FIRST_COMPLETED
+            )
             if service.done():
-                left = began + NEIGHBOURS_SECONDS - clock.now()
-                await asyncio.wait([asking], timeout=max(left, 0.0))
+                remaining_s = began + NEIGHBOUR_TIMEOUT_S - clock.now()
+                await asyncio.wait([peers_task], timeout=max(remaining_s, 0.0))
             else:
-                await asking
+                await peers_task
         finally:
-            asking.cancel()
+            peers_task.cancel()
 
-    async def _ask_peers(self, began: float) -> None:
-        asked: set[str] = set()
+    async def _query_peers(self, began: float) -> None:
+        queried: set[str] = set()
         while True:
-            waiting = False
+            is_waiting = False
             for name, address in self._membership.neighbours().items():
                 link = self._links.link(name, address)
-                if link is not None and link.instance not in asked:
-                    asked.add(link.instance)
+                if link is not None and link.instance not in queried:
+                    queried.add(link.instance)
                     link.send(messages.Refresh(self._number))
                 if self._links.failed_since(name, began):
                     continue
                 if link is None or link.instance not in self._answers:
-                    waiting = True
-            if not waiting and (self._answers or self._membership.listed):
+                    is_waiting = True
+            if not is_waiting and (self._answers or self._membership.listed):
                 return
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _take_highest(self) -> None:
+    async def _fetch_newest_text(self) -> None:
         highest = configuration.NO_VERSION
         holder = ""
         for name, answer in self._answers.items():
-            place = configuration.TextVersion(answer.revision, answer.digest)
-            if place > highest:
-                highest = place
+            version = configuration.TextVersion(answer.revision, answer.digest)
+            if version > highest:
+                highest = version
                 holder = name
-        while self._configured.wants(highest):
+        while self._configured.should_fetch(highest):
             link = self._membership.link(holder)
             if link is not None:
                 self._configured.ask(link)
-            await asyncio.sleep(configuration.ASK_SECONDS / 4)
+            await asyncio.sleep(configuration.REQUEST_TIMEOUT_S / 4)
 
-    def _refresh(self, link: peers.Link, question: messages.Refresh) -> None:
+    def _handle_refresh(self, link: peers.Link, question: messages.Refresh) -> None:
         link.send(
             messages.Refreshed(
                 question.number,
-                *self._configured.position,
-                self._membership.told(),
+                *self._configured.newest_version,
+                self._membership.facts_to_send(),
             )
         )
 
-    def _refreshed(self, link: peers.Link, answer: messages.Refreshed) -> None:
+    def _handle_refreshed(self, link: peers.Link, answer: messages.Refreshed) -> None:
         if answer.number != self._number:
             return
         self._answers[link.instance] = answer
--- a/packages/daemon/cassiaquay_daemon/fleet/server_list.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/server_list.py
@@ -1,4 +1,4 @@
-"""Registered backend servers: those the platform lists, and those kept without it."""
+"""Registered backend servers: listed by the platform, or retained after an outage."""
 
 import collections.abc
 import typing
@@ -10,16 +10,16 @@
 
 
 class Change(typing.NamedTuple):
-    """What a newer list has changed.
+    """Names of the servers that a newer list added, retained or dropped.
 
     Attributes
     ----------
     added : list of str
-        Servers that were not in use before.
+        Servers that were not known before.
     retained : list of str
-        Missing servers that are kept from now on.
+        Servers missing from the list that are now retained.
     gone : list of str
-        Missing servers that are dropped.
+        Servers missing from the list that are dropped.
     """
 
     added: list[str]
@@ -30,9 +30,9 @@
 class ServerList:
     """Entries by name, as of one revision of the platform.
 
-    Only listed entries are sent to other instances and enter the digest. A retained one
-    is this instance's own guess: sent on under a newer revision, it would put a server
-    that has left back into use everywhere.
+    Only listed entries are sent to other instances and enter the digest. A retained
+    entry is a local guess: sent on under a newer revision, it would bring a server that
+    has left back into use on every instance.
     """
 
     def __init__(self) -> None:
@@ -41,23 +41,23 @@
 
     @property
     def listed(self) -> list[messages.ServerEntry]:
-        """Entries that the platform has."""
+        """Entries that the platform lists."""
         return list(self._listed.values())
 
     @property
     def retained(self) -> list[str]:
-        """Names of the missing servers that are kept."""
+        """Names of the retained servers."""
         return list(self._retained)
 
     @property
     def size(self) -> int:
-        """Number of servers that are known."""
+        """Number of listed and retained servers."""
         return len(self._listed) + len(self._retained)
 
     def digest(self, evacuated: list[str]) -> int:
-        """Return a digest of what decides about the use of listed servers.
+        """Return a digest of the evacuated domains and of the listed servers.
 
-        Their heartbeats change other fields all the time.
+        It omits the fields that change with each of a server's heartbeats.
         """
         lines: list[object] = list(evacuated)
         for name in sorted(self._listed):
@@ -81,7 +81,10 @@
         entries: collections.abc.Iterable[messages.ServerEntry],
         retains: bool,
     ) -> Change:
-        """Take in all entries of a revision; keep missing ones where ``retains``."""
+        """Replace the entries by those of a revision.
+
+        Missing ones are retained if ``retains`` is true, unless they were leaving.
+        """
         change = Change([], [], [])
         before = self._listed
         self._listed = {}
@@ -95,7 +98,7 @@
             self._retained.pop(entry.name, None)
         for name, entry in before.items():
             if entry.revision > revision:
-                # Written after this list was read.
+                # The entry was written after this list was read.
                 self._listed[name] = entry
             elif retains and not entry.leaving:
                 self._retained[name] = entry
@@ -107,13 +110,13 @@
         return change
 
     def drop_retained(self) -> list[str]:
-        """Drop the missing servers that are kept; return their names."""
+        """Drop the retained servers; return their names."""
         dropped = self.retained
         self._retained.clear()
         return dropped
 
     def pools(self) -> dict[str, list[fleet_schema.Server]]:
-        """Return the servers that may get new work, by service."""
+        """Return the servers that may get new requests, by service."""
         found: dict[str, list[fleet_schema.Server]] = {}
         known = {**self._listed, **self._retained}
         for name, entry in sorted(known.items()):
--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -137,7 +137,7 @@
             if not self._failing:
                 logs.event("servers_unreadable", cause=str(error), age_ms=self.age_ms)
             self._failing = True
-            self._outages.failed(began)
+            self._outages.note_failure(began)
             return False
         if self._failing:
             logs.event("servers_readable", age_ms=self.age_ms)
@@ -185,7 +185,7 @@
         if revision < self._revision:
             # Read before what another instance has sent meanwhile.
             return False
-        self._outages.took(read_at)
+        self._outages.note_read(read_at)
         self._revision = revision
         self._read_at = max(self._read_at, read_at)
         return self._merge(entries, revision, read_at)
@@ -214,7 +214,7 @@
         if revision < self._revision:
             return
         self._revision = revision
-        self._outages.confirmed(read_at)
+        self._outages.confirm(read_at)
         self._read_at = max(self._read_at, read_at)
         self._drop_retained()
 
@@ -294,7 +294,7 @@
         if beat.servers_steady_ms:
             now = clock.now()
             steady_since = now - beat.servers_steady_ms / 1000.0
-            self._outages.heard(steady_since, now - age)
+            self._outages.note_peer_interval(steady_since, now - age)
             self._drop_retained()
         if not beat.servers_revision or beat.servers_revision < self._revision:
             return
@@ -305,7 +305,7 @@
         # text has come, requests would be answered by the older one, and a key that
         # was taken away would be served for as long as that text is on its way.
         position = configuration.TextVersion(beat.revision, beat.digest)
-        if self._configured.wants(position):
+        if self._configured.should_fetch(position):
             return
         # The same servers, confirmed later: nothing needs to be sent. The age was true
         # when the heartbeat was sent, so what it has spent on the way is added.
--- a/packages/daemon/cassiaquay_daemon/fleet/spread.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/spread.py
@@ -57,9 +57,9 @@
             # will tell. Until then it is told who speaks.
             own = self._facts.records.get(self._instance)
             if own is not None:
-                portion.members.append(facts.told(own))
+                portion.members.append(facts.with_current_uptime(own))
             return portion
-        for record in self._facts.news(change):
+        for record in self._facts.changed_since(change):
             if self._left <= 0:
                 break
             change = record.change
@@ -70,7 +70,7 @@
                 portion.suspicions.append(suspicion)
                 self._left -= SUSPICION_BYTES
                 continue
-            portion.members.append(facts.told(record))
+            portion.members.append(facts.with_current_uptime(record))
             self._left -= MEMBER_BYTES
         self._told[link] = change
         return portion
--- a/packages/dev/cassiaquay_dev/sizing/light.py
+++ b/packages/dev/cassiaquay_dev/sizing/light.py
@@ -168,7 +168,7 @@
         for work in (
             self.pauses.tick(),
             self.renewal.run(),
-            self.membership.beat(),
+            self.membership.send_heartbeats(),
             self.membership.read_list(self._listing),
             self.configuration.watch(self._published, self.membership),
         ):
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -45,7 +45,7 @@
         self.evacuated: list[str] = []
         self.revision = 0
 
-    def wants(self, position: configuration.TextVersion) -> bool:
+    def should_fetch(self, position: configuration.TextVersion) -> bool:
         """Want what is newer."""
         return position.revision > self.revision
 
