--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -99,7 +99,7 @@
             gates.Checked(self._dependencies, self._limits),
         )
         self._owner.heed(self._pauses)
-        self._membership.on_heartbeat(self._configuration.heard)
+        self._membership.on_heartbeat(self._configuration.handle_heartbeat)
         self._membership.digest = lambda: self._configuration.digest
         self._configuration.on_accept(self._membership.update)
         self._pauses.on_resume(self._membership.restart_silence_timers)
--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -139,7 +139,7 @@
         """Return whether a text of this version is newer and not yet rejected."""
         return version > self._newest_version and version not in self._rejected_versions
 
-    def heard(self, link: peers.Link, beat: messages.Heartbeat) -> None:
+    def handle_heartbeat(self, link: peers.Link, beat: messages.Heartbeat) -> None:
         """Request a neighbour's configuration when its heartbeat shows a newer one."""
         if not self.should_fetch(TextVersion(beat.revision, beat.digest)):
             return
--- a/packages/dev/cassiaquay_dev/sizing/light.py
+++ b/packages/dev/cassiaquay_dev/sizing/light.py
@@ -142,7 +142,7 @@
             published,
             listing,
         )
-        self.membership.on_heartbeat(self.configuration.heard)
+        self.membership.on_heartbeat(self.configuration.handle_heartbeat)
         self.membership.digest = lambda: self.configuration.digest
         self.configuration.on_accept(self.membership.update)
         self.configuration.on_accept(self._note)
