--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -14,7 +14,7 @@
 
 from .. import clock, exceptions, logs, platform, rendezvous
 from ..links import peers
-from . import budget_peers, facts, freshness, spread, watching
+from . import budget_peers, facts, failure_detector, freshness, gossip
 
 # A load is sent when it has moved by a step plus a share of the old one, at most once
 # per interval: hundreds of instances balance callers so within the gossip budget.
@@ -80,10 +80,12 @@
         self._load_at = clock.now()
         self._budget_peers = budget_peers.BudgetPeers()
         self._lost: dict[str, _LostMember] = {}
-        self._gossip = spread.Gossip(
+        self._gossip = gossip.Gossip(
             settings.instance, self.facts, settings.membership.spread_bytes
         )
-        self._detector = watching.FailureDetector(settings, self.facts, self._send_to)
+        self._detector = failure_detector.FailureDetector(
+            settings, self.facts, self._send_to
+        )
         self._on_heartbeat: list[
             collections.abc.Callable[[peers.Link, messages.Heartbeat], None]
         ] = []
@@ -329,7 +331,7 @@
             for seed in self._seeds:
                 if seed != self._links.address:
                     addresses[f"{peers.SEED}{seed}"] = seed
-        ranked = watching.rank(self._settings.instance, addresses)
+        ranked = failure_detector.rank(self._settings.instance, addresses)
         chosen = ranked[: self._settings.membership.neighbours]
         return {name: addresses[name] for name in chosen}
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cassiaquay_daemon import exceptions
-from cassiaquay_daemon.fleet import facts, watching
+from cassiaquay_daemon.fleet import facts, failure_detector
 from cassiaquay_daemon.interface import addresses
 from cassiaquay_daemon.links import frames, peers
 from cassiaquay_daemon.owners import tokens
@@ -282,7 +282,9 @@
     names = [f"cq-{number}" for number in range(380)]
     linked: dict[str, set[str]] = {name: set() for name in names}
     for name in names:
-        ranked = watching.rank(name, [other for other in names if other != name])
+        ranked = failure_detector.rank(
+            name, [other for other in names if other != name]
+        )
         for other in ranked[:8]:
             linked[name].add(other)
             linked[other].add(name)
