--- a/packages/daemon/cassiaquay_daemon/fleet/failure_detector.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/failure_detector.py
@@ -1,4 +1,4 @@
-"""Whom this instance hears; about the silent it asks others before it suspects."""
+"""Failure detector: probes silent members through others before suspecting them."""
 
 import collections.abc
 
@@ -9,9 +9,10 @@
 from ..links import peers
 from . import facts
 
-# A silent instance is asked for at this many others that should hear it, and has
-# this many periods until the verdict: one broken connection is no death.
-HELPERS = 3
+# This many other instances are asked whether they receive heartbeats of a silent one,
+# for this many periods before it is suspected: a single broken connection is no proof
+# of a failure.
+HELPER_COUNT = 3
 PROBE_PERIODS = 2.0
 NEVER = float("-inf")
 
@@ -19,10 +20,10 @@
 
 
 def rank(instance: str, names: collections.abc.Iterable[str]) -> list[str]:
-    """Return the names in the order in which ``instance`` sends them heartbeats.
+    """Return the names in the order in which ``instance`` prefers them as neighbours.
 
-    Both of a pair give each other the same score, so most neighbours are mutual and
-    few connections are needed; and anybody can work out who should hear whom.
+    Scores are symmetric, so most neighbours are mutual and few connections are needed.
+    Every instance can compute which ones exchange heartbeats.
     """
 
     def score(name: str) -> int:
@@ -31,15 +32,15 @@
     return sorted(names, key=score, reverse=True)
 
 
-class FailureDetector:
-    """The instances whose heartbeats come here.
+class Detector:
+    """Tracks the heartbeats expected from other instances.
 
     Parameters
     ----------
     settings : Settings
-        Periods.
+        Heartbeat period and suspicion timeout.
     known : Facts
-        Where suspicions go.
+        Records the suspicions.
     send_to : callable
         Sends a message to an instance by name.
     """
@@ -51,26 +52,27 @@
         self._settings = settings.membership
         self._facts = known
         self._send_to = send_to
-        self._beats: dict[str, float] = {}
-        # The last real heartbeats. Only they answer a probe: two who merely expect some
-        # would tell each other "heard" for ever while the third is paused.
-        self._heard_at: dict[str, float] = {}
+        self._expected_since: dict[str, float] = {}
+        # Times of heartbeats actually received. Only these answer a probe: two
+        # instances that merely expect heartbeats of a paused third one would confirm it
+        # to each other indefinitely.
+        self._received_at: dict[str, float] = {}
         self._probes: dict[str, float] = {}
         self._links: dict[str, peers.Link] = {}
-        self._changes = 0
+        self._seen_changes = 0
 
     @property
-    def _patience(self) -> float:
-        """Seconds between the first question about an instance and the verdict."""
+    def _probe_seconds(self) -> float:
+        """Seconds from the first probe of an instance until it is suspected."""
         return PROBE_PERIODS * self._settings.period
 
     @property
     def watched(self) -> list[str]:
-        """Names of those whose heartbeats are expected here."""
-        return sorted(self._beats)
+        """Names of the instances whose heartbeats are expected."""
+        return sorted(self._expected_since)
 
-    def callers(self) -> list[peers.Link]:
-        """Return the links on which others, who dialled them, send heartbeats."""
+    def incoming_links(self) -> list[peers.Link]:
+        """Return the links dialled by others on which heartbeats arrive."""
         found = []
         for instance, link in self._links.items():
             if link.dialled or link.closing:
@@ -79,70 +81,72 @@
                 found.append(link)
         return found
 
-    def beat(self, link: peers.Link) -> None:
+    def note_heartbeat(self, link: peers.Link) -> None:
         """Note a heartbeat."""
-        self._beats[link.instance] = self._heard_at[link.instance] = clock.now()
+        self._expected_since[link.instance] = self._received_at[link.instance] = (
+            clock.now()
+        )
         self._links[link.instance] = link
         self._probes.pop(link.instance, None)
 
     def expect(self, names: collections.abc.Iterable[str]) -> None:
-        """Expect heartbeats of these, which were sent some, from now on.
+        """Expect heartbeats from now on of instances that are sent some.
 
-        One that is known by hearsay and was never heard here would be handed out for
-        ever by an instance that is cut off right after it was told of it.
+        This covers a member that is known only through others. An instance that was cut
+        off right after learning of it would otherwise list it indefinitely.
         """
         now = clock.now()
         for name in names:
             known = self._facts.records.get(name)
             if known is not None and known.suspected_at is None:
-                self._beats.setdefault(name, now)
+                self._expected_since.setdefault(name, now)
 
-    def lost(self, link: peers.Link) -> None:
-        """Note a closed link: a killed process is asked for without waiting."""
-        self._heard_at.pop(link.instance, None)
-        if link.instance in self._beats:
-            self._beats[link.instance] = NEVER
+    def note_closed_link(self, link: peers.Link) -> None:
+        """Note a closed link; its instance is probed at once, without a timeout."""
+        self._received_at.pop(link.instance, None)
+        if link.instance in self._expected_since:
+            self._expected_since[link.instance] = NEVER
         if self._links.get(link.instance) is link:
             del self._links[link.instance]
 
-    def restart(self) -> None:
-        """Give everybody a new chance, after a pause of this process itself."""
+    def reset(self) -> None:
+        """Restart all timeouts, after a pause of this process itself."""
         now = clock.now()
-        for name in self._beats:
-            self._beats[name] = self._heard_at[name] = now
+        for name in self._expected_since:
+            self._expected_since[name] = self._received_at[name] = now
         self._probes.clear()
 
-    def probe(self, link: peers.Link, probe: messages.Probe) -> None:
-        """Answer whether an instance is heard here."""
-        # Whoever would ask about it as well has no word to give: the last one to ask
-        # must get the others' silence, else nobody ever comes to a verdict.
-        silence = clock.now() - self._heard_at.get(probe.instance, NEVER)
-        if silence < self._settings.suspect_after - self._patience:
+    def answer_probe(self, link: peers.Link, probe: messages.Probe) -> None:
+        """Answer a probe if the instance's heartbeats are received here."""
+        # No answer when this instance is about to probe it as well: instances that keep
+        # confirming each other's old heartbeats would never suspect it.
+        silence = clock.now() - self._received_at.get(probe.instance, NEVER)
+        if silence < self._settings.suspect_after - self._probe_seconds:
             link.send(messages.Heard(probe.instance))
 
-    def heard(self, link: peers.Link, answer: messages.Heard) -> None:
-        """Leave an instance to those who hear it."""
+    def note_answer(self, link: peers.Link, answer: messages.Heard) -> None:
+        """Stop expecting heartbeats of an instance that another one receives."""
         if answer.instance in self._probes:
             del self._probes[answer.instance]
-            self._beats.pop(answer.instance, None)
+            self._expected_since.pop(answer.instance, None)
 
-    def judge(self) -> None:
-        """Ask for those who are silent; suspect those whom nobody hears."""
+    def update_suspicions(self) -> None:
+        """Probe silent instances; suspect those that no helper has confirmed."""
         now = clock.now()
-        for name in list(self._beats):
-            if self._silence(name) < self._settings.suspect_after - self._patience:
+        for name in list(self._expected_since):
+            if self._silence(name) < self._settings.suspect_after - self._probe_seconds:
                 continue
             if name not in self._probes:
                 self._probes[name] = now
-                self._ask(name)
+                self._send_probes(name)
                 continue
-            if now - self._probes[name] < self._patience:
-                # Again: a helper that had no connection from here has not got the
-                # question, and its silence would count as "not heard there either".
-                self._ask(name)
+            if now - self._probes[name] < self._probe_seconds:
+                # Repeat the probe: a helper without a connection from here has not
+                # received it, and its silence would count as a failed probe.
+                self._send_probes(name)
                 continue
             del self._probes[name]
-            del self._beats[name]
+            del self._expected_since[name]
             known = self._facts.records.get(name)
             if known is None or known.suspected_at is not None:
                 continue
@@ -150,18 +154,18 @@
             self._facts.suspect(messages.Suspicion(name, *known.order))
 
     def take_changes(self) -> bool:
-        """Return whether facts have changed since this was last asked."""
-        changed = self._facts.changes != self._changes
-        self._changes = self._facts.changes
+        """Return whether facts have changed since the last call."""
+        changed = self._facts.changes != self._seen_changes
+        self._seen_changes = self._facts.changes
         return changed
 
     def _silence(self, instance: str) -> float:
-        return clock.now() - self._beats.get(instance, NEVER)
+        return clock.now() - self._expected_since.get(instance, NEVER)
 
-    def _ask(self, name: str) -> None:
+    def _send_probes(self, name: str) -> None:
         others = []
         for other, record in self._facts.records.items():
             if record.suspected_at is None and other not in (self._instance, name):
                 others.append(other)
-        for helper in rank(name, others)[:HELPERS]:
+        for helper in rank(name, others)[:HELPER_COUNT]:
             self._send_to(helper, messages.Probe(name))
--- a/packages/daemon/cassiaquay_daemon/fleet/gossip.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""How facts on members go out: each to each neighbour once, within a budget."""
+"""Gossip of facts on members: each is sent to each neighbour once, within a budget."""
 
 import typing
 import weakref
@@ -9,58 +9,58 @@
 from ..links import peers
 from . import facts
 
-# Upper bounds of one fact and one suspicion on the wire, so that keeping to the budget
-# needs no encoding.
+# Upper bounds of the encoded size of a fact and a suspicion, so that the budget can be
+# charged without encoding them.
 MEMBER_BYTES = 130
 SUSPICION_BYTES = 40
-BURST_SECONDS = 20.0
+BURST_S = 20.0
 
 
 class Portion(typing.NamedTuple):
-    """What one heartbeat carries."""
+    """Facts and suspicions carried by one heartbeat."""
 
     members: list[messages.Member]
     suspicions: list[messages.Suspicion]
 
 
 class Gossip:
-    """Chooses what to send over each link.
+    """Selects the facts to send over each link.
 
     Parameters
     ----------
     instance : str
         Name of this instance.
     known : Facts
-        What there is to send.
+        The records to send.
     bytes_per_second : int
-        Budget of all links together. Unused budget adds up for some seconds: a
-        failure domain that goes at once is told of at once.
+        Budget of all links together. Unused budget accumulates for some seconds, so
+        that the loss of a whole failure domain can be sent at once.
     """
 
     def __init__(self, instance: str, known: facts.Facts, bytes_per_second: int):
         self._instance = instance
         self._facts = known
         self._rate = float(bytes_per_second)
-        self._left = self._rate * BURST_SECONDS
+        self._budget_bytes = self._rate * BURST_S
         self._filled_at = clock.now()
-        self._told: weakref.WeakKeyDictionary[peers.Link, int | None] = (
+        self._sent_change: weakref.WeakKeyDictionary[peers.Link, int | None] = (
             weakref.WeakKeyDictionary()
         )
 
     def portion(self, link: peers.Link) -> Portion:
-        """Return what the peer does not know yet, as far as the budget goes."""
-        self._fill()
+        """Return the changes not yet sent to a peer, as far as the budget allows."""
+        self._refill()
         portion = Portion([], [])
-        change = self._told.setdefault(link, None)
+        change = self._sent_change.setdefault(link, None)
         if change is None:
-            # Most often the peer knows all that is known here; its first heartbeat
-            # will tell. Until then it is told who speaks.
+            # The digest in the peer's first heartbeat will show whether it has all
+            # facts, as it mostly does. Until then it gets only the one on the sender.
             own = self._facts.records.get(self._instance)
             if own is not None:
                 portion.members.append(facts.with_current_uptime(own))
             return portion
         for record in self._facts.changed_since(change):
-            if self._left <= 0:
+            if self._budget_bytes <= 0:
                 break
             change = record.change
             if record.member.instance == link.instance and not record.suspected_at:
@@ -68,26 +68,26 @@
             if record.suspected_at is not None:
                 suspicion = messages.Suspicion(record.member.instance, *record.order)
                 portion.suspicions.append(suspicion)
-                self._left -= SUSPICION_BYTES
+                self._budget_bytes -= SUSPICION_BYTES
                 continue
             portion.members.append(facts.with_current_uptime(record))
-            self._left -= MEMBER_BYTES
-        self._told[link] = change
+            self._budget_bytes -= MEMBER_BYTES
+        self._sent_change[link] = change
         return portion
 
     def compare(self, instance: str, digest: int) -> None:
-        """Take in the digest of all that another instance knows."""
-        same = digest == self._facts.digest
-        for link, change in self._told.items():
+        """Compare with the table digest of another instance."""
+        is_equal = digest == self._facts.digest
+        for link, change in self._sent_change.items():
             if link.instance != instance:
                 continue
-            if same:
-                self._told[link] = self._facts.changes
+            if is_equal:
+                self._sent_change[link] = self._facts.changes
             elif change is None:
-                self._told[link] = 0
+                self._sent_change[link] = 0
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = clock.now()
-        filled = self._left + (now - self._filled_at) * self._rate
-        self._left = min(filled, self._rate * BURST_SECONDS)
+        filled = self._budget_bytes + (now - self._filled_at) * self._rate
+        self._budget_bytes = min(filled, self._rate * BURST_S)
         self._filled_at = now
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -83,9 +83,7 @@
         self._gossip = gossip.Gossip(
             settings.instance, self.facts, settings.membership.spread_bytes
         )
-        self._detector = failure_detector.FailureDetector(
-            settings, self.facts, self._send_to
-        )
+        self._detector = failure_detector.Detector(settings, self.facts, self._send_to)
         self._on_heartbeat: list[
             collections.abc.Callable[[peers.Link, messages.Heartbeat], None]
         ] = []
@@ -97,9 +95,9 @@
         self._keepers: dict[str, str] = {}
         links.on(messages.Heartbeat, self._on_beat)
         links.on(messages.Suspicion, self._on_suspicion)
-        links.on(messages.Probe, self._detector.probe)
-        links.on(messages.Heard, self._detector.heard)
-        links.on_down(self._detector.lost)
+        links.on(messages.Probe, self._detector.answer_probe)
+        links.on(messages.Heard, self._detector.note_answer)
+        links.on_down(self._detector.note_closed_link)
 
     @property
     def listed(self) -> dict[str, platform.Listed]:
@@ -240,7 +238,7 @@
         self._round += 1
         self._send()
         self._detector.expect(self.neighbours())
-        self._detector.judge()
+        self._detector.update_suspicions()
         for name in self.facts.forget(self._settings.membership.forget_after):
             logs.event("member_forgotten", member=name)
         self._report_changes()
@@ -291,7 +289,7 @@
 
     def restart_silence_timers(self) -> None:
         """Ignore the silence of other instances during this process's own pause."""
-        self._detector.restart()
+        self._detector.reset()
 
     def _send(self) -> None:
         # The gossip includes this instance's own fact, so refresh it first.
@@ -347,7 +345,7 @@
         # dialled from here to a former neighbour are left out: each side would take
         # the replies for a choice and keep replying, and after a fleet start half of
         # the instances would exchange heartbeats with the other half.
-        for link in self._detector.callers():
+        for link in self._detector.incoming_links():
             if link.instance not in chosen:
                 found.append(link)
         return found
@@ -381,7 +379,7 @@
         for suspicion in beat.suspicions:
             self._on_suspicion(link, suspicion)
         self._gossip.compare(link.instance, beat.table)
-        self._detector.beat(link)
+        self._detector.note_heartbeat(link)
         self.facts.note_revision(link.instance, beat.revision)
         to_refute = self.facts.suspicion_of(link.instance)
         if to_refute is not None:
--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -1,9 +1,9 @@
-"""The backend servers that registered with the platform, known to every instance.
+"""The list of backend servers registered with the platform, shared by all instances.
 
-Reading them at every instance each second would use up the platform's calls. One
-instance reads; heartbeats tell the others how old the list is, and whoever finds it too
-old reads by itself. So a reader that dies, pauses or is cut off from the platform is
-replaced within a fraction of a second, without anybody deciding who is next.
+If every instance read it each second, they would exhaust the platform's call quota. One
+instance reads it; heartbeats carry the age of the list, and an instance whose list is
+too old reads by itself. A reader that fails, pauses or loses the platform is thus
+replaced within a fraction of a second, without an election.
 """
 
 import asyncio
@@ -17,26 +17,27 @@
 from ..links import peers
 from . import configuration, freshness, members, outages, server_list, transit
 
-# The reader's place in the order of readers adds this much to the age at which it
-# reads: time for the one before it to read and for a heartbeat to arrive.
-RANK_SECONDS = 0.35
-# Those behind this place read at the same age: all of them together are still few.
+# Each rank in the order of readers adds this to the age at which an instance reads:
+# time for the reader before it to read and for a heartbeat to arrive.
+RANK_DELAY_S = 0.35
+# Instances of this rank and beyond read at the same age; together they are still few.
 LAST_RANK = 2
-# Pause after a failed read of the first readers in order. The others ask seldom: while
-# the platform is away nobody's list is new, and all of them would ask all the time.
-RETRY_SECONDS = 0.15
-OTHERS_RETRY_SECONDS = 1.0
+# Delay after a failed read, for readers before the last rank and for the others. The
+# latter wait longer: during an outage of the platform every list is too old, and
+# hundreds of instances would retry all the time.
+RETRY_DELAY_S = 0.15
+LAST_RANK_RETRY_DELAY_S = 1.0
 RETRY_JITTER = 0.4
-TICK_SECONDS = 0.1
-MOST_AGE_SECONDS = 3600.0
-# A log line names at most so many servers: at a start all of them are new.
-MOST_NAMED = 8
+MIN_SLEEP_S = 0.1
+MAX_AGE_S = 3600.0
+# A log line names at most this many servers: after a start all of them are new.
+MAX_LOGGED_NAMES = 8
 PLATFORM = "platform"
 NEVER = float("-inf")
 
 
 class Servers:
-    """The list of backend servers, as new as any instance in reach has it.
+    """The list of backend servers, as recent as on any reachable instance.
 
     Parameters
     ----------
@@ -45,13 +46,13 @@
     links : Peers
         Connections to the other instances.
     membership : Membership
-        Who they are.
+        Supplies the neighbours and their heartbeats.
     configured : Configuration
-        Gets the servers of each pool.
+        Receives the servers of each pool.
     store : ServerStore
-        Where they register.
+        The platform's store in which servers register.
     texts : ConfigurationService
-        Read with it, so that the age of the list is that of the configuration too.
+        Read together with the store, so that both have the same age.
     """
 
     def __init__(
@@ -79,53 +80,53 @@
         self._transit = transit.Transit()
         self._registered = server_list.ServerList()
         self._added: list[str] = []
-        self._failing = False
-        links.on(messages.ServerListQuery, self._query)
-        links.on(messages.ServerList, self._list)
-        membership.on_heartbeat(self._heard)
+        self._is_failing = False
+        links.on(messages.ServerListQuery, self._handle_query)
+        links.on(messages.ServerList, self._handle_list)
+        membership.on_heartbeat(self._handle_heartbeat)
 
     @property
     def revision(self) -> int:
-        """Revision of the list, 0 before there is one."""
+        """Revision of the list; 0 before the first one."""
         return self._revision
 
     @property
     def count(self) -> int:
-        """Number of servers that are known here."""
+        """Number of known servers, listed and retained."""
         return self._registered.size
 
     @property
     def age(self) -> float:
-        """Seconds since the platform confirmed the list and the configuration here."""
+        """Seconds since the list and the configuration were confirmed current."""
         return clock.now() - self._outages.confirmed_at
 
     @property
     def age_ms(self) -> int:
-        """The same in milliseconds, bounded."""
+        """The age in milliseconds, at most ``MAX_AGE_S``."""
         return _milliseconds(self.age)
 
     @property
     def is_behind(self) -> bool:
-        """Whether a change that must be in force may not have been heard here."""
+        """Whether a change that must already be in force may be missing here."""
         return self.age > self._settings.gateway.apply_seconds
 
     @property
     def state(self) -> freshness.Freshness:
-        """What heartbeats say of the list."""
+        """Revision, age and digest of the list, as sent in heartbeats."""
         steady = clock.now() - self._outages.steady_since if self._revision else 0.0
         return freshness.Freshness(
             self._revision, self.age_ms, self._digest, _milliseconds(steady)
         )
 
     async def read(self) -> None:
-        """Read the list whenever nobody else has lately, for ever."""
+        """Read the list whenever no other instance has recently, until cancelled."""
         while True:
-            left = self._due_at() - clock.now()
-            if left > 0.0:
-                await asyncio.sleep(max(left, TICK_SECONDS))
+            wait_s = self._next_read_at() - clock.now()
+            if wait_s > 0.0:
+                await asyncio.sleep(max(wait_s, MIN_SLEEP_S))
                 continue
             if not await self.read_once():
-                await asyncio.sleep(self._retry_seconds())
+                await asyncio.sleep(self._retry_delay())
 
     async def read_once(self) -> bool:
         """Read the list now; return whether the platform answered."""
@@ -134,41 +135,42 @@
             found = await self._store.read()
             await self._configured.read_once(self._texts)
         except exceptions.PlatformError as error:
-            if not self._failing:
+            if not self._is_failing:
                 logs.event("servers_unreadable", cause=str(error), age_ms=self.age_ms)
-            self._failing = True
+            self._is_failing = True
             self._outages.note_failure(began)
             return False
-        if self._failing:
+        if self._is_failing:
             logs.event("servers_readable", age_ms=self.age_ms)
-        self._failing = False
-        is_changed = self._take(found.revision, found.entries, began)
-        if self._evacuate(self._texts.evacuated) or is_changed:
+        self._is_failing = False
+        is_changed = self._apply(found.revision, found.entries, began)
+        if self._apply_evacuated(self._texts.evacuated) or is_changed:
             self._publish(PLATFORM)
-            self._notify()
+            self._send_to_neighbours()
         self._confirm(found.revision, began)
         return True
 
-    def _retry_seconds(self) -> float:
+    def _retry_delay(self) -> float:
         if self._rank < LAST_RANK:
-            return RETRY_SECONDS
-        return OTHERS_RETRY_SECONDS * (1.0 + RETRY_JITTER * random.random())
+            return RETRY_DELAY_S
+        return LAST_RANK_RETRY_DELAY_S * (1.0 + RETRY_JITTER * random.random())
 
-    def _due_at(self) -> float:
-        """Return when the list is to be read here; seconds on this clock."""
-        due_at = self._outages.confirmed_at + self._patience()
+    def _next_read_at(self) -> float:
+        """Return when to read the list next, in seconds on the local clock."""
+        due_at = self._outages.confirmed_at + self._max_age()
         if not self._registered.retained:
             return due_at
-        # A retained server that has left gets requests until a list of then lacks it.
-        retained_until = self._outages.retained_until + self._rank * RANK_SECONDS
+        # A retained server that has left gets requests until a list that was read at
+        # this time lacks it.
+        retained_until = self._outages.retained_until + self._rank * RANK_DELAY_S
         return min(due_at, retained_until)
 
-    def _patience(self) -> float:
+    def _max_age(self) -> float:
         serving = self._membership.serving()
         if serving is not self._ranked:
             self._ranked = serving
             self._rank = self._rank_among(serving)
-        return self._settings.platform.servers_seconds + self._rank * RANK_SECONDS
+        return self._settings.platform.servers_seconds + self._rank * RANK_DELAY_S
 
     def _rank_among(self, serving: list[messages.Member]) -> int:
         names = [member.instance for member in serving]
@@ -178,20 +180,20 @@
             return LAST_RANK
         return min(ranked.index(own), LAST_RANK)
 
-    def _take(
+    def _apply(
         self, revision: int, entries: list[messages.ServerEntry], read_at: float
     ) -> bool:
-        """Take in a list; return whether what may be used has changed."""
+        """Apply a list; return whether the usable servers have changed."""
         if revision < self._revision:
-            # Read before what another instance has sent meanwhile.
+            # It is older than a list that another instance has sent meanwhile.
             return False
         self._outages.note_read(read_at)
         self._revision = revision
         self._read_at = max(self._read_at, read_at)
         return self._merge(entries, revision, read_at)
 
-    def _evacuate(self, found: platform.Evacuated) -> bool:
-        """Take in what is evacuated; return whether that has changed."""
+    def _apply_evacuated(self, found: platform.Evacuated) -> bool:
+        """Apply the evacuated domains; return whether they have changed."""
         if found.revision < self.evacuated.revision:
             return False
         before = self.evacuated.domains
@@ -204,10 +206,10 @@
             before=",".join(before),
             revision=found.revision,
         )
-        self._digest = self._digest_now()
+        self._digest = self._compute_digest()
         return True
 
-    def _digest_now(self) -> int:
+    def _compute_digest(self) -> int:
         return self._registered.digest(self.evacuated.domains)
 
     def _confirm(self, revision: int, read_at: float) -> None:
@@ -221,26 +223,26 @@
     def _merge(
         self, entries: list[messages.ServerEntry], revision: int, read_at: float
     ) -> bool:
-        """Take in a full list; return whether what may be used has changed."""
-        # Right after the platform's return a missing entry may only have run out:
-        # dropped at once, a fleet that lives would be left without a server.
-        left = self._outages.retained_until - read_at
-        change = self._registered.take(revision, entries, left > 0.0)
+        """Merge a full list; return whether the usable servers have changed."""
+        # Right after an outage of the platform a missing entry may only have expired.
+        # Dropping such entries at once could leave a working fleet without servers.
+        retention_s = self._outages.retained_until - read_at
+        change = self._registered.take(revision, entries, retention_s > 0.0)
         for name in change.retained:
             logs.event(
                 "server_retained",
                 server=name,
                 revision=revision,
-                left_ms=round(left * 1000),
+                left_ms=round(retention_s * 1000),
             )
         self._log_gone(change.gone)
         self._added.extend(change.added)
         before = self._digest
-        self._digest = self._digest_now()
+        self._digest = self._compute_digest()
         return self._digest != before or bool(change.gone)
 
     def _drop_retained(self) -> None:
-        """Drop what is kept once a list read late enough still lacks it."""
+        """Drop the retained servers that a list read late enough still lacks."""
         if not self._registered.retained:
             return
         if self._outages.confirmed_at < self._outages.retained_until:
@@ -260,7 +262,7 @@
             source=source,
             usable=sum(len(servers) for servers in pools.values()),
             known=self.count,
-            added=",".join(sorted(self._added)[:MOST_NAMED]) or None,
+            added=",".join(sorted(self._added)[:MAX_LOGGED_NAMES]) or None,
             added_count=len(self._added) or None,
         )
         self._added.clear()
@@ -268,9 +270,9 @@
             snapshots.Registered(pools, self.evacuated.domains)
         )
 
-    def _notify(self) -> None:
-        # A server that leaves must get no new work within seconds: those who hear of
-        # it send the list to their neighbours at once, each list once.
+    def _send_to_neighbours(self) -> None:
+        # A leaving server must get no new requests within seconds, so each instance
+        # forwards a changed list to its neighbours at once, each list once.
         message = self._message()
         for instance, address in self._membership.neighbours().items():
             link = self._links.link(instance, address)
@@ -278,8 +280,8 @@
                 link.send(message)
 
     def _message(self) -> messages.ServerList:
-        # Not the age of the confirmation, which says more: that the configuration, too,
-        # was current. A receiver works out from this whether the platform was away.
+        # This is the age of the read, not of the confirmation, which also covers the
+        # configuration. The receiver derives platform outages from it.
         return messages.ServerList(
             self._revision,
             _milliseconds(clock.now() - self._read_at),
@@ -288,7 +290,7 @@
             self.evacuated.revision,
         )
 
-    def _heard(self, link: peers.Link, beat: messages.Heartbeat) -> None:
+    def _handle_heartbeat(self, link: peers.Link, beat: messages.Heartbeat) -> None:
         delay = self._transit.seconds(link, beat.sent_ms)
         age = beat.servers_age_ms / 1000.0 + delay
         if beat.servers_steady_ms:
@@ -301,30 +303,30 @@
         if beat.servers_digest != self._digest:
             link.send(messages.ServerListQuery(self._revision))
             return
-        # A neighbour whose configuration is newer confirms nothing here: until its
-        # text has come, requests would be answered by the older one, and a key that
-        # was taken away would be served for as long as that text is on its way.
+        # A neighbour with a newer configuration does not confirm this list: until its
+        # text arrives, requests are served by the older text, and a revoked key would
+        # be accepted all that time.
         position = configuration.TextVersion(beat.revision, beat.digest)
         if self._configured.should_fetch(position):
             return
-        # The same servers, confirmed later: nothing needs to be sent. The age was true
-        # when the heartbeat was sent, so what it has spent on the way is added.
+        # The lists are equal, so only the later confirmation counts. Its age was
+        # correct when the heartbeat was sent; the transit time is added.
         self._confirm(beat.servers_revision, clock.now() - age)
 
-    def _query(self, link: peers.Link, query: messages.ServerListQuery) -> None:
+    def _handle_query(self, link: peers.Link, query: messages.ServerListQuery) -> None:
         if self._revision > query.revision:
             link.send(self._message())
 
-    def _list(self, link: peers.Link, found: messages.ServerList) -> None:
+    def _handle_list(self, link: peers.Link, found: messages.ServerList) -> None:
         is_changed = False
         if found.revision > self._revision:
             read_at = clock.now() - found.age_ms / 1000.0
-            is_changed = self._take(found.revision, found.entries, read_at)
+            is_changed = self._apply(found.revision, found.entries, read_at)
         evacuated = platform.Evacuated(found.evacuated_revision, found.evacuated)
-        if self._evacuate(evacuated) or is_changed:
+        if self._apply_evacuated(evacuated) or is_changed:
             self._publish(link.instance)
-            self._notify()
+            self._send_to_neighbours()
 
 
 def _milliseconds(seconds: float) -> int:
-    return int(min(seconds, MOST_AGE_SECONDS) * 1000)
+    return int(min(seconds, MAX_AGE_S) * 1000)
--- a/packages/daemon/cassiaquay_daemon/fleet/transit.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/transit.py
@@ -1,13 +1,13 @@
-"""How long a heartbeat was on its way, without comparing clocks.
+"""Estimates the transit delay of heartbeats without synchronized clocks.
 
-Load pattern: a link loses packets, and heartbeats arrive seconds late, several at once.
-What they tell was true when they were sent. Taken as true now, a list that nobody could
-read for seconds looks fresh at every hop: instances that could read it do not, and a
-key that was taken away is served for as long.
+When a link loses packets, heartbeats arrive seconds late, several at once, and their
+contents are as old. If the delay were ignored, a list that no instance has read for
+seconds would look fresh at every hop: instances that could read it would not, and a
+revoked key would be accepted all that time.
 
-Both clocks run at the same rate, so the difference between a heartbeat's arrival here
-and its sending there is the same for all of a link but for the time on the way. The
-least difference seen is that of the fastest one; what is more than that is delay.
+The clocks of sender and receiver run at the same rate. The difference between arrival
+and sending time is therefore constant per link, apart from the transit time. The
+smallest difference seen belongs to the fastest heartbeat; any excess is delay.
 """
 
 import weakref
@@ -15,28 +15,28 @@
 from .. import clock
 from ..links import peers
 
-# Until a second heartbeat has come nothing is known of the way of the first.
-UNKNOWN_SECONDS = 3600.0
+# Returned for the first heartbeat of a link, whose delay cannot be estimated.
+UNKNOWN_DELAY_S = 3600.0
 
 
 class Transit:
-    """The ways that heartbeats come by."""
+    """Transit delays of heartbeats, per link."""
 
     def __init__(self) -> None:
-        self._least: weakref.WeakKeyDictionary[peers.Link, float]
-        self._least = weakref.WeakKeyDictionary()
+        self._smallest: weakref.WeakKeyDictionary[peers.Link, float]
+        self._smallest = weakref.WeakKeyDictionary()
 
     def seconds(self, link: peers.Link, sent_ms: int) -> float:
-        """Return how much longer than the fastest one a heartbeat was on its way.
+        """Return a heartbeat's transit time beyond that of the fastest one.
 
-        Zero where the sender does not say when it was sent.
+        Zero when the sender does not state its sending time.
         """
         if not sent_ms:
             return 0.0
-        passed = clock.now() - sent_ms / 1000.0
-        least = self._least.get(link)
-        if least is None:
-            self._least[link] = passed
-            return UNKNOWN_SECONDS
-        self._least[link] = min(least, passed)
-        return passed - self._least[link]
+        difference = clock.now() - sent_ms / 1000.0
+        smallest = self._smallest.get(link)
+        if smallest is None:
+            self._smallest[link] = difference
+            return UNKNOWN_DELAY_S
+        self._smallest[link] = min(smallest, difference)
+        return difference - self._smallest[link]
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -279,8 +279,8 @@
     """The instance that reads has died; this one is the next in order, or last."""
     site = Site(_entry("i-1"))
     site.read()
-    patience = site.list._patience()
-    assert 0.5 < patience < 1.5
+    max_age = site.list._max_age()
+    assert 0.5 < max_age < 1.5
     assert not site.list.is_behind
     time.now += 2.5
     assert site.list.is_behind
