--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -99,10 +99,10 @@
             gates.Checked(self._dependencies, self._limits),
         )
         self._owner.heed(self._pauses)
-        self._membership.on_heard(self._configuration.heard)
+        self._membership.on_heartbeat(self._configuration.handle_heartbeat)
         self._membership.digest = lambda: self._configuration.digest
         self._configuration.on_accept(self._membership.update)
-        self._pauses.on_overslept(self._membership.overslept)
+        self._pauses.on_resume(self._membership.restart_silence_timers)
         chosen = settings.platform
         self._texts = platform.configuration_services.get(chosen.configuration_adapter)(
             self._http, chosen.configuration
@@ -166,7 +166,7 @@
         else:
             bound.append(self._listen(callers.application(), settings.http_port))
             self._membership.http_address = _address(bound[1][1])
-        early_bind.close_rest()
+        early_bind.close_unclaimed()
         self._membership.admin_address = _address(admin_socket)
         tasks = [asyncio.create_task(work) for work in self._work()]
         tasks.append(asyncio.create_task(noted.watch_lag()))
@@ -201,7 +201,7 @@
         work = [
             self._pauses.tick(),
             renewing.run(),
-            self._membership.beat(),
+            self._membership.send_heartbeats(),
             self._keeper.tick(),
             self._demands.renew(),
             self._demands.report(),
@@ -242,7 +242,7 @@
         if self._gateway is not None:
             await self._gateway.drain()
         else:
-            self._membership.farewell()
+            self._membership.announce_leaving()
             await self._owner.leave()
             await asyncio.sleep(LINGER_SECONDS)
         for server in listening:
--- /dev/null
+++ b/packages/daemon/cassiaquay_daemon/fleet/gossip.py
@@ -0,0 +1,93 @@
+"""Gossip of facts on members: each is sent to each neighbour once, within a budget."""
+
+import typing
+import weakref
+
+from cassiaquay_schema import messages
+
+from .. import clock
+from ..links import peers
+from . import facts
+
+# Upper bounds of the encoded size of a fact and a suspicion, so that the budget can be
+# charged without encoding them.
+MEMBER_BYTES = 130
+SUSPICION_BYTES = 40
+BURST_S = 20.0
+
+
+class Portion(typing.NamedTuple):
+    """Facts and suspicions carried by one heartbeat."""
+
+    members: list[messages.Member]
+    suspicions: list[messages.Suspicion]
+
+
+class Gossip:
+    """Selects the facts to send over each link.
+
+    Parameters
+    ----------
+    instance : str
+        Name of this instance.
+    known : Facts
+        The records to send.
+    bytes_per_second : int
+        Budget of all links together. Unused budget accumulates for some seconds, so
+        that the loss of a whole failure domain can be sent at once.
+    """
+
+    def __init__(self, instance: str, known: facts.Facts, bytes_per_second: int):
+        self._instance = instance
+        self._facts = known
+        self._rate = float(bytes_per_second)
+        self._budget_bytes = self._rate * BURST_S
+        self._filled_at = clock.now()
+        self._sent_change: weakref.WeakKeyDictionary[peers.Link, int | None] = (
+            weakref.WeakKeyDictionary()
+        )
+
+    def portion(self, link: peers.Link) -> Portion:
+        """Return the changes not yet sent to a peer, as far as the budget allows."""
+        self._refill()
+        portion = Portion([], [])
+        change = self._sent_change.setdefault(link, None)
+        if change is None:
+            # The digest in the peer's first heartbeat will show whether it has all
+            # facts, as it mostly does. Until then it gets only the one on the sender.
+            own = self._facts.records.get(self._instance)
+            if own is not None:
+                portion.members.append(facts.with_current_uptime(own))
+            return portion
+        for record in self._facts.changed_since(change):
+            if self._budget_bytes <= 0:
+                break
+            change = record.change
+            if record.member.instance == link.instance and not record.suspected_at:
+                continue
+            if record.suspected_at is not None:
+                suspicion = messages.Suspicion(record.member.instance, *record.order)
+                portion.suspicions.append(suspicion)
+                self._budget_bytes -= SUSPICION_BYTES
+                continue
+            portion.members.append(facts.with_current_uptime(record))
+            self._budget_bytes -= MEMBER_BYTES
+        self._sent_change[link] = change
+        return portion
+
+    def compare(self, instance: str, digest: int) -> None:
+        """Compare with the table digest of another instance."""
+        is_equal = digest == self._facts.digest
+        for link, change in self._sent_change.items():
+            if link.instance != instance:
+                continue
+            if is_equal:
+                self._sent_change[link] = self._facts.changes
+            elif change is None:
+                self._sent_change[link] = 0
+
+    def _refill(self) -> None:
+        now = clock.now()
+        filled = self._budget_bytes + (now - self._filled_at) * self._rate
+        self._budget_bytes = min(filled, self._rate * BURST_S)
+        self._filled_at = now
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -104,7 +104,11 @@
         except exceptions.Refusal as refusal:
             await self._end(known, send, refusal)
         except TimeoutError:
-            late = exceptions.DeadlineExceeded if known.sent else exceptions.Infeasible
+            late = (
+                exceptions.DeadlineExceeded
+                if known.sent
+                else exceptions.DeadlineInfeasible
+            )
             await self._end(known, send, late())
         except Exception as error:
             # Whatever went wrong here, the caller gets an answer that is true.
@@ -144,11 +148,11 @@
                     server=known.server,
                     cause=f"status {error}",
                 )
-            except exceptions.StreamCut as error:
+            except exceptions.StreamInterrupted as error:
                 self._check_repeat(known, error)
 
     def _check_repeat(
-        self, known: progress.Progress, error: exceptions.StreamCut
+        self, known: progress.Progress, error: exceptions.StreamInterrupted
     ) -> None:
         """Return when the request may be sent to another server; raise otherwise."""
         call = known.call
@@ -205,7 +209,7 @@
         except exceptions.Unreachable:
             known.refused.append(ticket.server.name)
             raise
-        except (exceptions.StreamCut, _FailedOnce) as error:
+        except (exceptions.StreamInterrupted, _FailedOnce) as error:
             outcome = "failed" if isinstance(error, _FailedOnce) else "cut"
             known.tried.append(ticket.server.name)
             raise
@@ -255,7 +259,7 @@
         call = known.call
         self._check_quarantine(known)
         if not self._parts.pauses.current:
-            raise exceptions.Overslept("this process was paused")
+            raise exceptions.StaleAfterPause("this process was paused")
         if clock.now() >= min(ticket.expires_at, call.deadline):
             raise exceptions.NotSent("the permit has expired")
         snapshot = self._parts.configured.current
--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -87,7 +87,7 @@
         self._owner = owned
         self._relay = passing
         self._recovery = recovering
-        self._holds = holds.Holds(passing, membership.last_heard)
+        self._holds = holds.Holds(passing, membership.last_known)
         self._pauses = pauses or pause.Pauses(pause.shortest_lease(settings))
         self._on_refused: list[OnRefused] = []
 
@@ -197,7 +197,7 @@
         key = requests.key_of(call.id, call.team)
         if call.request.url.path.endswith("/cancel"):
             await self._recovery.cancel(key, call.snapshot, service)
-            raise exceptions.OwnerGone()
+            raise exceptions.OwnerLost()
         found = await self._recovery.find(key, call.snapshot, service)
         if call.request.method == "DELETE":
             # The engine forgets the stream in its own time.
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -134,7 +134,7 @@
             accepted = requests.accept(request_id, team, data, snapshot)
             accepted = dependencies.inherit(accepted, self.table)
             if self.leaving:
-                raise exceptions.Leaving(address=self._better_address())
+                raise exceptions.InstanceLeaving(address=self._better_address())
             self.held.make_room(accepted.rank, self._give_up)
         except exceptions.Refusal as refusal:
             # "Not run" holds for ever only when a late copy finds the id closed: what
@@ -197,7 +197,7 @@
             return entry.told
         if not self._dispatcher.can_stop(entry):
             return entry.told
-        await self._stop(entry, exceptions.CancelledRunning())
+        await self._stop(entry, exceptions.CancelledWhileRunning())
         return entry.told
 
     async def sweep(self) -> None:
@@ -224,7 +224,9 @@
         """Hand waiting requests back, and return when the others have been read."""
         self.leaving = True
         for entry in self.held.waiting():
-            self._give_up(entry, exceptions.Leaving(address=self._better_address()))
+            self._give_up(
+                entry, exceptions.InstanceLeaving(address=self._better_address())
+            )
         while self._running():
             await asyncio.wait(self._running())
         end = clock.now() + UNREAD_SECONDS
@@ -277,14 +279,14 @@
 
     def _abandon(self, entry: entries.Entry) -> None:
         if entry.state is entries.State.WAITING:
-            self._give_up(entry, exceptions.CallerGone())
+            self._give_up(entry, exceptions.CallerDisconnected())
             return
         if entry.accepted.service_settings.on_disconnect == "finish":
             return
         if not self._dispatcher.can_stop(entry):
             return
         if entry.stop_reason is None and entry.task is not None:
-            entry.stop_reason = exceptions.CallerGoneRunning()
+            entry.stop_reason = exceptions.CallerDisconnectedWhileRunning()
             entry.task.cancel()
 
     def _give_up(self, entry: entries.Entry, refusal: exceptions.Refusal) -> None:
@@ -371,7 +373,7 @@
             if entry.state is entries.State.DISPATCHED:
                 self._refuse(entry, exceptions.DeadlineExceeded())
             else:
-                self._refuse(entry, exceptions.Infeasible())
+                self._refuse(entry, exceptions.DeadlineInfeasible())
         except asyncio.CancelledError:
             if entry.state is entries.State.DISPATCHED:
                 self._refuse(entry, entry.stop_reason or exceptions.OutcomeUnknown())
--- a/packages/daemon/cassiaquay_daemon/pause.py
+++ b/packages/daemon/cassiaquay_daemon/pause.py
@@ -53,15 +53,15 @@
         self._check()
         return self._current.is_set()
 
-    def on_overslept(self, call: collections.abc.Callable[[], None]) -> None:
+    def on_resume(self, call: collections.abc.Callable[[], None]) -> None:
         """Call ``call`` when a pause is noticed."""
         self._on_overslept.append(call)
 
     def hold(self) -> None:
-        """Hold this instance back until :meth:`renewed` is called."""
+        """Hold this instance back until :meth:`release` is called."""
         self._current.clear()
 
-    def renewed(self) -> None:
+    def release(self) -> None:
         """Let this instance act again."""
         self._check()
         self._current.set()
--- a/packages/dev/cassiaquay_dev/sizing/light.py
+++ b/packages/dev/cassiaquay_dev/sizing/light.py
@@ -142,11 +142,11 @@
             published,
             listing,
         )
-        self.membership.on_heard(self.configuration.heard)
+        self.membership.on_heartbeat(self.configuration.handle_heartbeat)
         self.membership.digest = lambda: self.configuration.digest
         self.configuration.on_accept(self.membership.update)
         self.configuration.on_accept(self._note)
-        self.pauses.on_overslept(self.membership.overslept)
+        self.pauses.on_resume(self.membership.restart_silence_timers)
         self._published = published
         self._listing = listing
         self._tasks: list[asyncio.Task[None]] = []
@@ -168,7 +168,7 @@
         for work in (
             self.pauses.tick(),
             self.renewal.run(),
-            self.membership.beat(),
+            self.membership.send_heartbeats(),
             self.membership.read_list(self._listing),
             self.configuration.watch(self._published, self.membership),
         ):
--- a/tests/mesh_fakes.py
+++ b/tests/mesh_fakes.py
@@ -44,7 +44,7 @@
         self.heard: list = []
         self._own = own
 
-    def on_heard(self, call) -> None:
+    def on_heartbeat(self, call) -> None:
         """Keep a callback."""
         self.heard.append(call)
 
@@ -56,7 +56,7 @@
         """Return the others."""
         return {name: "h:1" for name in self.owners if name != self._own}
 
-    def has_elders(self) -> bool:
+    def has_older_instances(self) -> bool:
         """Return whether an instance ran before this one."""
         return True
 
--- a/tests/owner_fakes.py
+++ b/tests/owner_fakes.py
@@ -84,7 +84,7 @@
 
 async def cut(answer: answers.Answer) -> None:
     answer.append(b'{"text":"a"}')
-    raise exceptions.StreamCut("cut")
+    raise exceptions.StreamInterrupted("cut")
 
 
 async def broken(answer: answers.Answer) -> None:
@@ -116,7 +116,7 @@
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
     ) -> backends.Figures:
-        raise exceptions.StreamMissing(key)
+        raise exceptions.StreamNotFound(key)
 
     async def cancel(self, server: fleet.Server, key: str) -> backends.Waste | None:
         self._servers.stopped.append(key)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cassiaquay_daemon import exceptions
-from cassiaquay_daemon.fleet import facts, watching
+from cassiaquay_daemon.fleet import facts, failure_detector
 from cassiaquay_daemon.interface import addresses
 from cassiaquay_daemon.links import frames, peers
 from cassiaquay_daemon.owners import tokens
@@ -191,7 +191,7 @@
         async with fleets.fleet() as fleet:
             *_, last = await fleet.add_many(3)
             await fleet.agree()
-            last.membership.farewell()
+            last.membership.announce_leaving()
             await fleet.agree(["cq-1", "cq-2"])
 
     asyncio.run(run())
@@ -282,7 +282,9 @@
     names = [f"cq-{number}" for number in range(380)]
     linked: dict[str, set[str]] = {name: set() for name in names}
     for name in names:
-        ranked = watching.rank(name, [other for other in names if other != name])
+        ranked = failure_detector.rank(
+            name, [other for other in names if other != name]
+        )
         for other in ranked[:8]:
             linked[name].add(other)
             linked[other].add(name)
@@ -365,7 +367,7 @@
 
 def test_a_frame_that_is_no_message_is_a_fault() -> None:
     decoder = frames.Decoder()
-    with pytest.raises(exceptions.FrameFault):
+    with pytest.raises(exceptions.InvalidFrame):
         decoder.feed(b"\x93\x04\xa1x\x01")
 
 
@@ -457,7 +459,7 @@
             await asyncio.sleep(0.1)
             second = await fleet.add("cq-2")
             await fleet.agree()
-            assert second.membership.has_elders()
-            assert not first.membership.has_elders()
+            assert second.membership.has_older_instances()
+            assert not first.membership.has_older_instances()
 
     asyncio.run(run())
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -71,7 +71,7 @@
         with pytest.raises(exceptions.Refusal) as caught:
             bench.submit(name, **body)
         assert caught.value.outcome == "not_run"
-        with pytest.raises(exceptions.RefusedBefore) as again:
+        with pytest.raises(exceptions.PreviouslyRefused) as again:
             bench.submit(name)
         assert again.value.code == caught.value.code
         assert not bench.servers.seen
@@ -91,7 +91,7 @@
         assert bench.owner.outcome(name, "questions").state == "unseen"
         told = await bench.owner.cancel(name, "questions")
         assert (told.outcome, told.state) == ("not_run", "refused")
-        with pytest.raises(exceptions.RefusedBefore):
+        with pytest.raises(exceptions.PreviouslyRefused):
             bench.submit(name)
         assert bench.owner.outcome(name, "questions") == told
         assert not bench.servers.seen
@@ -127,7 +127,7 @@
         bench.owner.acknowledge(name, "questions")
         assert not bench.owner.held.entries
         assert bench.owner.held.ledger.used == 0
-        with pytest.raises(exceptions.AnswerForgotten):
+        with pytest.raises(exceptions.AnswerExpired):
             bench.submit(name)
         assert bench.owner.outcome(name, "questions").outcome == "completed"
         with pytest.raises(exceptions.Forbidden):
@@ -154,7 +154,7 @@
             bench.submit(names[0])
         with pytest.raises(exceptions.TokenExpired):
             bench.submit(bench.new_id(seconds=50.5))
-        with pytest.raises(exceptions.RefusedBefore):
+        with pytest.raises(exceptions.PreviouslyRefused):
             bench.submit(names[1])
         assert not bench.servers.seen
 
@@ -206,7 +206,7 @@
         bench.owner.sweep_once()
         assert bench.owner.held.ledger.used <= 1024
         assert bench.owner.find(entries[0].accepted.id, "questions") is entries[0]
-        with pytest.raises(exceptions.AnswerForgotten):
+        with pytest.raises(exceptions.AnswerExpired):
             bench.owner.find(entries[1].accepted.id, "questions")
 
     run(work())
@@ -429,7 +429,7 @@
         leaving = asyncio.create_task(bench.owner.leave())
         final = await owner_fakes.ended(waiting)
         assert (final["code"], final["address"]) == ("instance_leaving", "127.0.0.1:9")
-        with pytest.raises(exceptions.Leaving):
+        with pytest.raises(exceptions.InstanceLeaving):
             bench.submit(bench.new_id())
         assert not leaving.done()
         finish.set()
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -45,11 +45,11 @@
         self.evacuated: list[str] = []
         self.revision = 0
 
-    def wants(self, position: configuration.Position) -> bool:
+    def should_fetch(self, position: configuration.TextVersion) -> bool:
         """Want what is newer."""
         return position.revision > self.revision
 
-    def use_servers(self, registered: snapshots.RegisteredServers) -> None:
+    def set_registered_servers(self, registered: snapshots.RegisteredServers) -> None:
         """Keep the servers."""
         self.pools = registered.pools
         self.evacuated = registered.evacuated
@@ -77,7 +77,7 @@
         super().__init__("", [fakes.Owner(name) for name in names])
         self.heard: list = []
 
-    def on_heard(self, call) -> None:
+    def on_heartbeat(self, call) -> None:
         """Keep a callback."""
         self.heard.append(call)
 
@@ -279,8 +279,8 @@
     """The instance that reads has died; this one is the next in order, or last."""
     site = Site(_entry("i-1"))
     site.read()
-    patience = site.list._patience()
-    assert 0.5 < patience < 1.5
+    max_age = site.list._max_age()
+    assert 0.5 < max_age < 1.5
     assert not site.list.is_behind
     time.now += 2.5
     assert site.list.is_behind
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -32,7 +32,7 @@
     def find(self, instance: str) -> messages.Member | None:
         return self.alive.get(instance)
 
-    def last_heard(self, instance: str) -> messages.Member | None:
+    def last_known(self, instance: str) -> messages.Member | None:
         return self.heard.get(instance)
 
 
@@ -248,7 +248,7 @@
             async def resume(self, server, key, answer) -> backends.Figures:
                 calls.append(server.name)
                 if server.name != "e-2":
-                    raise exceptions.StreamMissing(key)
+                    raise exceptions.StreamNotFound(key)
                 answer.open()
                 await prefilled.wait()
                 answer.append(b'{"text":"a"}')
