--- a/packages/daemon/cassiaquay_daemon/keepers/spillover.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/spillover.py
@@ -26,7 +26,7 @@
 # A demand is moved only when it gains more than the way there and an estimate's error.
 GAIN_SECONDS = 0.03
 # After so many moves a demand stays: shards that are all full must not pass it round.
-MOST_MOVES = 2
+MAX_MOVES = 2
 
 
 class Role(typing.Protocol):
@@ -89,7 +89,7 @@
         limit : float
             Seconds that it may wait for a slot.
         """
-        if waiting.demand.moves >= MOST_MOVES:
+        if waiting.demand.moves >= MAX_MOVES:
             return ""
         since = clock.now() - TRUST_SECONDS
         best = ""
--- a/tests/test_spillover.py
+++ b/tests/test_spillover.py
@@ -144,7 +144,7 @@
     pool = Pool()
     pool.fill()
     pool.told(THERE, (0, 0.0, 0.0))
-    pool.demand("tired", moves=spillover.MOST_MOVES)
+    pool.demand("tired", moves=spillover.MAX_MOVES)
     pool.policy.serve()
     assert not pool.moved()
 
