--- a/packages/daemon/cassiaquay_daemon/keepers/spillover.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/spillover.py
@@ -22,7 +22,7 @@
 # Waits are reported at each tick of the keeper, every 0.1 s; what is moved meanwhile is
 # added by the sender. After three ticks without a report nothing is moved there: its
 # keeper may be paused or cut off.
-TRUST_SECONDS = 0.3
+REPORT_LIFETIME_SECONDS = 0.3
 # A demand is moved only when it gains more than the way there and an estimate's error.
 GAIN_SECONDS = 0.03
 # After so many moves a demand stays: shards that are all full must not pass it round.
@@ -91,7 +91,7 @@
         """
         if waiting.demand.moves >= MAX_MOVES:
             return ""
-        since = clock.now() - TRUST_SECONDS
+        since = clock.now() - REPORT_LIFETIME_SECONDS
         best = ""
         least = limit - GAIN_SECONDS
         for shard in self._siblings.of(source):
--- a/tests/test_spillover.py
+++ b/tests/test_spillover.py
@@ -134,7 +134,7 @@
     pool = Pool()
     pool.fill()
     pool.told(THERE, (0, 0.0, 0.0))
-    time.now += spillover.TRUST_SECONDS + 0.05
+    time.now += spillover.REPORT_LIFETIME_SECONDS + 0.05
     pool.demand("late")
     pool.policy.serve()
     assert not pool.moved()
