--- a/packages/daemon/cassiaquay_daemon/keepers/floors.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/floors.py
@@ -23,7 +23,7 @@
 RENEW_SECONDS = 0.2
 # Whoever does not answer is cut off or dead. A request that is given up gets its answer
 # at once, not when the partition heals.
-PATIENCE_SECONDS = 0.2
+ANSWER_TIMEOUT_SECONDS = 0.2
 
 
 class Asked(typing.NamedTuple):
@@ -112,7 +112,7 @@
             asked = asked._replace(at=now, first_at=first_at)
             self._ask(source, shard, asked)
         asked = self._asked[(source, shard)]
-        return now < asked.held_until or now > asked.first_at + PATIENCE_SECONDS
+        return now < asked.held_until or now > asked.first_at + ANSWER_TIMEOUT_SECONDS
 
     def _ask(self, source: str, shard: str, asked: Asked) -> None:
         self._asked[(source, shard)] = asked
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -151,7 +151,7 @@
             pair.ask("cq-1", FIRST, f"urgent{number}", 0)
         await _turn()
         assert not pair.owner.sheds()
-        time.now += floors.PATIENCE_SECONDS + 0.01
+        time.now += floors.ANSWER_TIMEOUT_SECONDS + 0.01
         pair.ask("cq-1", FIRST, "urgent0", 0)
         await _turn()
         assert list(pair.owner.sheds()) == ["urgent1"]
