--- a/packages/daemon/cassiaquay_daemon/gateway/admission.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/admission.py
@@ -103,7 +103,7 @@
             raise exceptions.NoServers(retry_after_ms=NO_SERVERS_RETRY_MS)
         try:
             permission = await self._demands.obtain(
-                demand, call.deadline, demands.PATIENCE_SECONDS
+                demand, call.deadline, demands.ACKNOWLEDGE_TIMEOUT_SECONDS
             )
         except exceptions.KeeperSilent:
             return self._alone(call, demand)
--- a/packages/daemon/cassiaquay_daemon/keepers/demands.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/demands.py
@@ -27,7 +27,7 @@
 VOID_SECONDS = 0.2
 # A live keeper acknowledges a demand within a few round trips. One that does not has
 # died, is paused or cut off.
-PATIENCE_SECONDS = 0.15
+ACKNOWLEDGE_TIMEOUT_SECONDS = 0.15
 # How often a waiting demand is sent again, to see whether its keeper still lives.
 PROBE_SECONDS = 0.5
 
