--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -115,7 +115,7 @@
             self._membership,
             settings.gateway.first_start,
         )
-        self._owner.heed_crashes(self._crashes)
+        self._owner.use_crash_reports(self._crashes)
         self._gateway = self._passing_through()
 
     async def run(self) -> None:
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -84,7 +84,7 @@
         """Send nothing while this process does not know what is true now."""
         self._dispatcher.pauses = pauses
 
-    def heed_crashes(self, crashes: dispatching.Crashes) -> None:
+    def use_crash_reports(self, crashes: dispatching.Crashes) -> None:
         """Refuse requests that crash servers, and report crashes."""
         self._dispatcher.crashes = crashes
 
--- a/tests/owner_fakes.py
+++ b/tests/owner_fakes.py
@@ -196,7 +196,7 @@
             lambda name: name in self.leaving,
             lambda: "127.0.0.1:9",
         )
-        self.owner.heed_crashes(Crashes(settings))
+        self.owner.use_crash_reports(Crashes(settings))
         self._count = 0
 
     def new_id(self, seconds: float | None = None) -> tokens.RequestId:
