--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -98,7 +98,7 @@
             self._better_address,
             gates.Checked(self._dependencies, self._limits),
         )
-        self._owner.heed(self._pauses)
+        self._owner.use_pauses(self._pauses)
         self._membership.on_heard(self._configuration.heard)
         self._membership.digest = lambda: self._configuration.digest
         self._configuration.on_accept(self._membership.update)
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -80,7 +80,7 @@
         """Requests that have not ended."""
         return self.held.open_count
 
-    def heed(self, pauses: pause.Pauses) -> None:
+    def use_pauses(self, pauses: pause.Pauses) -> None:
         """Send nothing while this process does not know what is true now."""
         self._dispatcher.pauses = pauses
 
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -144,7 +144,7 @@
             owned = owner.Owner(
                 SETTINGS, "a" * 12, http, asked, lambda name: False, str
             )
-            owned.heed(pauses)
+            owned.use_pauses(pauses)
             configured = configuration.Configuration(SETTINGS, links)
             text = fleets.text(1).replace("plain-http", "noting")
             configured.accept(1, text)
