--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -203,7 +203,7 @@
                 self._update(shard)
                 self._ask(shard)
             self._serve(name)
-        self._spillover.announce()
+        self._spillover.report_waits()
 
     def _open_early(self) -> None:
         """Take up the shards to be kept here before the first demand comes.
--- a/packages/daemon/cassiaquay_daemon/keepers/spillover.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/spillover.py
@@ -105,7 +105,7 @@
             self._reports[best].moved()
         return best
 
-    def announce(self) -> None:
+    def report_waits(self) -> None:
         """Report to other shards' keepers how long demands wait in those kept here."""
         for name, shard in self._kept.shards.items():
             if not self._kept.keeps(name):
--- a/tests/test_spillover.py
+++ b/tests/test_spillover.py
@@ -153,7 +153,7 @@
     pool = Pool()
     pool.demand("first")
     pool.policy.serve()
-    pool.spillover.announce()
+    pool.spillover.report_waits()
     [told] = pool.other.sent
     assert isinstance(told, messages.Waits)
     assert told.shard == HERE
