--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -136,7 +136,7 @@
             except exceptions.OutcomeUnknown as refusal:
                 if request.url.path.endswith(QUESTIONS):
                     # It is the answer to the question, no failure of asking it.
-                    told = entries.Told(refusal.outcome, refusal.code, "unknown")
+                    told = entries.RequestStatus(refusal.outcome, refusal.code, "unknown")
                     return _told(told)
                 self._note(request, refusal)
                 return streams.RefusalResponse(refusal)
@@ -205,8 +205,8 @@
         if call.request.url.path.endswith("/outcome"):
             final = found.answer.final
             if final is None:
-                return _told(entries.Told("", "", "dispatched"))
-            return _told(entries.Told(final["outcome"], final["code"], "finished"))
+                return _told(entries.RequestStatus("", "", "dispatched"))
+            return _told(entries.RequestStatus(final["outcome"], final["code"], "finished"))
         hold = _Hold(self._holds, call.id, dict(call.request.headers))
         return streams.AnswerResponse(
             found.answer,
@@ -263,7 +263,7 @@
     return int(text)
 
 
-def _told(told: entries.Told) -> responses.Response:
+def _told(told: entries.RequestStatus) -> responses.Response:
     return _json(told._asdict())
 
 
--- a/packages/daemon/cassiaquay_daemon/owners/entries.py
+++ b/packages/daemon/cassiaquay_daemon/owners/entries.py
@@ -19,7 +19,7 @@
     REFUSED = "refused"
 
 
-class Told(typing.NamedTuple):
+class RequestStatus(typing.NamedTuple):
     """What a caller is told of an id without its answer.
 
     Attributes
@@ -81,12 +81,12 @@
         return self.answer.final is not None
 
     @property
-    def told(self) -> Told:
+    def told(self) -> RequestStatus:
         """What a caller is told that asks for the outcome."""
         final = self.answer.final
         if final is None:
-            return Told("", "", self.state.value)
-        return Told(final["outcome"], final["code"], self.state.value)
+            return RequestStatus("", "", self.state.value)
+        return RequestStatus(final["outcome"], final["code"], self.state.value)
 
     def attach(self) -> None:
         """Count a reader of the answer."""
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -26,7 +26,7 @@
 CANCEL_SECONDS = 5.0
 Entry = entries.Entry
 State = entries.State
-UNSEEN = entries.Told("", "", "unseen")
+UNSEEN = entries.RequestStatus("", "", "unseen")
 
 
 class Owner:
@@ -168,7 +168,7 @@
         if not entry.readers:
             self._close(entry)
 
-    def outcome(self, request_id: tokens.RequestId, team: str) -> entries.Told:
+    def outcome(self, request_id: tokens.RequestId, team: str) -> entries.RequestStatus:
         """Return what became of an id, as far as this owner knows."""
         closed = self._closed(request_id, team)
         if closed is not None:
@@ -177,7 +177,7 @@
         # An id not seen yet may still arrive and run: nothing is said of it.
         return UNSEEN if entry is None else entry.told
 
-    async def cancel(self, request_id: tokens.RequestId, team: str) -> entries.Told:
+    async def cancel(self, request_id: tokens.RequestId, team: str) -> entries.RequestStatus:
         """End a request that its caller has given up, and return what became of it."""
         closed = self._closed(request_id, team)
         if closed is not None:
@@ -189,7 +189,7 @@
             refusal = exceptions.Cancelled()
             self.held.refuse(request_id, team, refusal.outcome, refusal.code)
             self._log_end(request_id.text, refusal)
-            return entries.Told(refusal.outcome, refusal.code, "refused")
+            return entries.RequestStatus(refusal.outcome, refusal.code, "refused")
         if entry.ended:
             return entry.told
         if entry.state is entries.State.WAITING:
@@ -257,13 +257,13 @@
             raise exceptions.TokenExpired()
         return None
 
-    def _closed(self, request_id: tokens.RequestId, team: str) -> entries.Told | None:
+    def _closed(self, request_id: tokens.RequestId, team: str) -> entries.RequestStatus | None:
         if request_id.text in self.held.entries:
             return None
         closed = self.held.closed.find(request_id)
         if closed is None or closed.team != team:
             return None
-        return entries.Told(closed.outcome, closed.code, closed.state)
+        return entries.RequestStatus(closed.outcome, closed.code, closed.state)
 
     def _forget_old(self, entry: entries.Entry, now: float) -> None:
         kept = self._settings.owner.answer_seconds
