--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -96,7 +96,7 @@
             self._demands,
             self._takes_no_work,
             self._better_address,
-            gates.Checked(self._dependencies, self._limits),
+            gates.CheckedGate(self._dependencies, self._limits),
         )
         self._owner.use_pauses(self._pauses)
         self._membership.on_heard(self._configuration.heard)
--- a/packages/daemon/cassiaquay_daemon/owners/gates.py
+++ b/packages/daemon/cassiaquay_daemon/owners/gates.py
@@ -31,7 +31,7 @@
 OPEN = Open()
 
 
-class Checked:
+class CheckedGate:
     """Dependencies and limits together.
 
     Parameters
