--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -136,7 +136,9 @@
             except exceptions.OutcomeUnknown as refusal:
                 if request.url.path.endswith(QUESTIONS):
                     # It is the answer to the question, no failure of asking it.
-                    told = entries.RequestStatus(refusal.outcome, refusal.code, "unknown")
+                    told = entries.RequestStatus(
+                        refusal.outcome, refusal.code, "unknown"
+                    )
                     return _told(told)
                 self._note(request, refusal)
                 return streams.RefusalResponse(refusal)
@@ -206,7 +208,9 @@
             final = found.answer.final
             if final is None:
                 return _told(entries.RequestStatus("", "", "dispatched"))
-            return _told(entries.RequestStatus(final["outcome"], final["code"], "finished"))
+            return _told(
+                entries.RequestStatus(final["outcome"], final["code"], "finished")
+            )
         hold = _Hold(self._holds, call.id, dict(call.request.headers))
         return streams.AnswerResponse(
             found.answer,
--- a/packages/daemon/cassiaquay_daemon/keepers/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/__init__.py
@@ -1,6 +1,6 @@
-"""The keeper role of shards and limits, and the owners' way to keepers.
+"""Keepers, which admit requests to shards and limits, and the clients of keepers.
 
-Carries demands, permits, renewals and limits between owners and the decisions room.
-Owners and the gateway ask here for capacity. It must not know how a request is sent
-or answered.
+Passes demands, permits, renewals and limits between owners, which dispatch requests,
+and the ``decisions`` package. Owners and the gateway obtain capacity here. This package
+must not depend on how a request is sent or answered.
 """
--- a/packages/daemon/cassiaquay_daemon/keepers/baselines.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/baselines.py
@@ -1,7 +1,7 @@
-"""Baseline policies, for comparison by the bench only; no fleet should use them.
+"""Baseline policies that benchmarks compare against; not for production fleets.
 
-They stand for what is commonly put in front of engines: none knows tiers or teams, none
-sheds but at the deadline, and all but ``first-come-local`` send on at once, so that
+They model common load balancers: none distinguishes tiers or teams, each sheds a
+request only at its deadline, and all but ``first-come-local`` dispatch at once, so that
 requests wait in the engines' own queues.
 """
 
@@ -16,19 +16,19 @@
 from .. import clock, rendezvous
 from ..decisions import policies, shards
 
-# Under this policy each owner keeps its own shards: there are no keepers.
+# Under this policy each owner is the keeper of every shard for its own requests.
 LOCAL = "first-come-local"
 POLL_SECONDS = 0.5
 
 
 class _Immediate:
-    """Sends each request on as soon as it comes."""
+    """Grants each request as soon as it arrives, regardless of free slots."""
 
     def __init__(self, shard: shards.Shard):
         self._shard = shard
 
     def serve(self) -> None:
-        """Grant everything in order of arrival."""
+        """Grant all queued demands in order of arrival."""
         shard = self._shard
         for waiting in list(shard.queue.values()):
             avoid = waiting.demand.avoid
@@ -38,7 +38,7 @@
             shard.grant(waiting, self._choose(waiting.demand, servers).name)
 
     def learn(self, release: messages.Release) -> None:
-        """Learn nothing."""
+        """Do nothing: this policy keeps no statistics."""
 
     def _choose(
         self, demand: messages.Demand, servers: list[fleet.Server]
@@ -48,22 +48,22 @@
 
 @policies.policies.register("round-robin")
 class RoundRobin(_Immediate):
-    """Each server in turn."""
+    """Selects the servers in turn."""
 
     def __init__(self, shard: shards.Shard):
         super().__init__(shard)
-        self._turn = 0
+        self._next_index = 0
 
     def _choose(
         self, demand: messages.Demand, servers: list[fleet.Server]
     ) -> fleet.Server:
-        self._turn += 1
-        return servers[self._turn % len(servers)]
+        self._next_index += 1
+        return servers[self._next_index % len(servers)]
 
 
 @policies.policies.register("prefix-sticky")
 class PrefixSticky(_Immediate):
-    """The server that rendezvous hashing gives the session or the first block."""
+    """Selects a server by rendezvous hashing of the session or the first block."""
 
     def _choose(
         self, demand: messages.Demand, servers: list[fleet.Server]
@@ -79,31 +79,33 @@
 
 @policies.policies.register("least-reported")
 class LeastReported(_Immediate):
-    """The server whose last load report was the lowest for its slots."""
+    """Selects the server with the lowest reported load per slot."""
 
     def __init__(self, shard: shards.Shard):
         super().__init__(shard)
         self._reports: dict[str, int] = {}
         self._polled_at = 0.0
-        self._poll: asyncio.Task[None] | None = None
+        self._poll_task: asyncio.Task[None] | None = None
 
     def serve(self) -> None:
-        """Grant everything in order of arrival; read the reports now and then."""
+        """Grant all queued demands in order of arrival; poll loads periodically."""
         due = clock.now() - self._polled_at >= POLL_SECONDS
-        if due and (self._poll is None or self._poll.done()):
+        if due and (self._poll_task is None or self._poll_task.done()):
             self._polled_at = clock.now()
-            self._poll = asyncio.create_task(self._read(self._shard.open_servers()))
+            self._poll_task = asyncio.create_task(
+                self._poll_loads(self._shard.open_servers())
+            )
         super().serve()
 
     def _choose(
         self, demand: messages.Demand, servers: list[fleet.Server]
     ) -> fleet.Server:
-        return min(servers, key=self._reported)
+        return min(servers, key=self._load_per_slot)
 
-    def _reported(self, server: fleet.Server) -> float:
+    def _load_per_slot(self, server: fleet.Server) -> float:
         return self._reports.get(server.name, 0) / server.slots
 
-    async def _read(self, servers: list[fleet.Server]) -> None:
+    async def _poll_loads(self, servers: list[fleet.Server]) -> None:
         timeout = aiohttp.ClientTimeout(total=POLL_SECONDS)
         async with aiohttp.ClientSession(timeout=timeout) as http:
             for server in servers:
@@ -111,33 +113,36 @@
                 try:
                     async with http.get(url) as response:
                         body = await response.read()
-                    found = msgspec.json.decode(body, type=_Load)
+                    load = msgspec.json.decode(body, type=_Load)
                 except (TimeoutError, aiohttp.ClientError, msgspec.DecodeError):
-                    # Plain services report nothing, and an engine may be gone.
+                    # Plain services report no load, and an engine may be down.
                     continue
-                self._reports[server.name] = found["tokens_in_flight"]
+                self._reports[server.name] = load["tokens_in_flight"]
 
 
 @policies.policies.register(LOCAL)
 class FirstComeLocal:
-    """Order of arrival at each owner by itself; a server's slots bound each owner."""
+    """First come, first served within each owner.
+
+    Owners don't coordinate: each one may fill all slots of a server.
+    """
 
     def __init__(self, shard: shards.Shard):
         self._shard = shard
 
     def serve(self) -> None:
-        """Grant in order of arrival; the first that must wait holds the others."""
+        """Grant in order of arrival; a demand without a free slot blocks the rest."""
         shard = self._shard
         for waiting in list(shard.queue.values()):
-            server = self._place(waiting.demand)
+            server = self._least_loaded_server(waiting.demand)
             if server is None:
                 return
             shard.grant(waiting, server.name)
 
     def learn(self, release: messages.Release) -> None:
-        """Learn nothing."""
+        """Do nothing: this policy keeps no statistics."""
 
-    def _place(self, demand: messages.Demand) -> fleet.Server | None:
+    def _least_loaded_server(self, demand: messages.Demand) -> fleet.Server | None:
         shard = self._shard
         free = []
         for server in shard.open_servers():
--- a/packages/daemon/cassiaquay_daemon/keepers/demands.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/demands.py
@@ -1,7 +1,7 @@
-"""The owner's side of admission: demands out, permits in, leases renewed.
+"""The owner's side of admission: sends demands, receives permits, renews leases.
 
-Demands are sent to whichever instance is the keeper now; when that changes, or its
-connection breaks, they are sent again.
+Demands go to the shard's current keeper, the instance that admits requests to the
+shard. When the keeper changes or its connection is reopened, they are sent again.
 """
 
 import asyncio
@@ -16,19 +16,19 @@
 from ..links import peers
 from . import keeper, sending
 
-# How often dispatches and first events are reported. A keeper holds back until it hears
-# that a prompt has been read, so a longer period leaves engines idle.
+# Period of reports of dispatches and first events. A keeper delays grants until it
+# learns that dispatched prompts have been read, so a longer period idles engines.
 PROGRESS_SECONDS = 0.02
 
 
-# Renewals that must have been missed before a pause is concluded, and how long after
-# it permits are not taken: enough for all that lay in the sockets to be read.
-LATE_RENEWALS = 3.0
-VOID_SECONDS = 0.2
-# A live keeper acknowledges a demand within a few round trips. One that does not has
-# died, is paused or cut off.
+# After this many missed renewal periods the process assumes that it was paused. It then
+# rejects permits for long enough to read everything that was buffered in the sockets.
+PAUSE_RENEWALS = 3.0
+REJECT_PERMITS_SECONDS = 0.2
+# A live keeper acknowledges a demand within a few round trips; one that doesn't has
+# crashed, is paused or is partitioned.
 ACKNOWLEDGE_TIMEOUT_SECONDS = 0.15
-# How often a waiting demand is sent again, to see whether its keeper still lives.
+# Period at which a waiting demand is sent again to check that its keeper is alive.
 PROBE_SECONDS = 0.5
 
 
@@ -42,16 +42,16 @@
 
 
 class Permission(typing.NamedTuple):
-    """A permit as its owner holds it.
+    """A permit as held by the owner of the request.
 
     Attributes
     ----------
     server : str
         Backend server.
     expires_at : float
-        Seconds on this clock; the dispatch must begin before.
+        Seconds on this clock; the dispatch must begin before it.
     shard : str
-        Shard whose keeper gave it; not always the one that was asked first.
+        Shard whose keeper granted it; differs from the first one after a move.
     """
 
     server: str
@@ -60,16 +60,16 @@
 
 
 class Pending(typing.NamedTuple):
-    """A demand without an answer yet."""
+    """A demand that is neither granted nor refused yet."""
 
     demand: messages.Demand
     deadline: float
     future: asyncio.Future[Permission]
-    made_at: float
+    created_at: float
 
 
-class _Local:
-    """Stands for the link when this instance is the keeper itself."""
+class _LocalLink:
+    """Replaces the link to the keeper when this instance is the keeper."""
 
     def __init__(self, instance: str, demands: "Demands"):
         self.instance = instance
@@ -89,16 +89,16 @@
 
 
 class Demands:
-    """Everything that this instance asks of keepers.
+    """Demands and leases of this instance's requests at their keepers.
 
     Parameters
     ----------
     settings : Settings
-        Period of renewals.
+        Renewal period.
     links : Peers
         Connections to keepers.
     membership : Membership
-        Who is the keeper.
+        Links to live instances; reports changes of keepers.
     local : Keeper
         This instance's own keeper role.
     """
@@ -113,24 +113,24 @@
         self._settings = settings
         self._membership = membership
         self._keeper = local
-        self._local = _Local(settings.instance, self)
+        self._local = _LocalLink(settings.instance, self)
         self._pending: dict[str, Pending] = {}
         self._outstanding: dict[str, dict[str, sending.Sent]] = {}
-        self._anything_out = asyncio.Event()
+        self._has_outstanding = asyncio.Event()
         self._lengths = lengths.Lengths()
-        self._signs: dict[str, float] = {}
-        self._keepers: dict[str, str] = {}
+        self._acknowledged_at: dict[str, float] = {}
+        self._last_keepers: dict[str, str] = {}
         self._renewed_at = clock.now()
-        self._void_until = 0.0
+        self._rejects_permits_until = 0.0
         links.on(messages.Permit, self.answer)
         links.on(messages.Shed, self.answer)
         links.on(messages.NotKeeper, self.answer)
         links.on(messages.Queued, self.answer)
         links.on(messages.Moved, self.answer)
         links.on(messages.RenewalQuery, self.answer)
-        links.on_up(self._up)
-        membership.on_change(self._moved)
-        local.on_ask(self._renewal_asked)
+        links.on_up(self._on_link_up)
+        membership.on_change(self._on_members_changed)
+        local.on_ask(self._renew_locally)
 
     async def obtain(
         self, demand: messages.Demand, deadline: float, patience: float | None = None
@@ -144,28 +144,29 @@
         deadline : float
             Seconds on this clock.
         patience : float, optional
-            Raise KeeperSilent when the keeper gives no sign for so many seconds.
+            Raise KeeperSilent when the keeper sends no acknowledgement for this many
+            seconds.
         """
         future: asyncio.Future[Permission] = asyncio.get_running_loop().create_future()
-        demand = self._estimated(demand)
+        demand = self._with_estimates(demand)
         if patience is not None:
             demand = demand._replace(acknowledge=True)
         self._pending[demand.id] = Pending(demand, deadline, future, clock.now())
-        self._notify(demand.shard, demand)
+        self._send(demand.shard, demand)
         try:
             if patience is not None:
-                await self._watch(demand.id, patience)
+                await self._wait_acknowledged(demand.id, patience)
             return await future
         except (asyncio.CancelledError, exceptions.KeeperSilent):
             self.give_back(self._pending[demand.id].demand)
             raise
         finally:
             self._pending.pop(demand.id, None)
-            self._signs.pop(demand.id, None)
+            self._acknowledged_at.pop(demand.id, None)
 
     def give_back(self, demand: messages.Demand) -> None:
-        """Give back a permission that was not used."""
-        self._notify(demand.shard, messages.Withdraw(demand.id, demand.shard))
+        """Withdraw a demand or return an unused permission to the keeper."""
+        self._send(demand.shard, messages.Withdraw(demand.id, demand.shard))
 
     def dispatched(
         self,
@@ -173,21 +174,21 @@
         item: messages.Outstanding,
         answer: sending.Counted | None = None,
     ) -> None:
-        """Note that a permission is in use; its lease is renewed from now on."""
+        """Record that a permission is in use and start renewing its lease."""
         self._outstanding.setdefault(shard, {})[item.id] = sending.Sent(item, answer)
-        self._anything_out.set()
+        self._has_outstanding.set()
 
     def release(self, message: messages.Release) -> None:
-        """Tell the keeper that a dispatched request has ended."""
+        """Report the end of a dispatched request to its keeper."""
         sent = self._outstanding.get(message.shard, {}).pop(message.id, None)
         if sent is not None and message.outcome == "completed":
-            self._learn(sent.item, message)
-        self._notify(message.shard, message)
+            self._update_estimates(sent.item, message)
+        self._send(message.shard, message)
 
     def answer(self, replier: shards.Replier, message: messages.Message) -> None:
-        """Take a keeper's answer."""
+        """Handle a message from a keeper."""
         if isinstance(message, messages.Permit):
-            self._permit(replier, message)
+            self._accept_permit(replier, message)
             return
         if isinstance(message, messages.Shed):
             pending = self._pending.get(message.id)
@@ -202,20 +203,20 @@
             return
         if isinstance(message, messages.Queued):
             if message.id in self._pending:
-                self._signs[message.id] = clock.now()
+                self._acknowledged_at[message.id] = clock.now()
             return
         if isinstance(message, messages.Moved):
-            self._elsewhere(message)
+            self._move_demand(message)
             return
         if isinstance(message, messages.NotKeeper):
-            self._redirected(replier, message)
+            self._redirect(replier, message)
 
     async def renew(self) -> None:
-        """Renew leases and repeat unanswered demands for ever."""
+        """Renew leases and repeat unanswered demands until cancelled."""
         while True:
             await asyncio.sleep(self._settings.keeper.renew_seconds)
-            if self._is_late():
-                self._void_until = clock.now() + VOID_SECONDS
+            if self._was_paused():
+                self._rejects_permits_until = clock.now() + REJECT_PERMITS_SECONDS
             self._renewed_at = clock.now()
             for shard in list(self._outstanding):
                 self._renew(shard)
@@ -223,33 +224,33 @@
                 self._resend(pending)
 
     async def report(self) -> None:
-        """Tell keepers of dispatches and first events for ever."""
+        """Report dispatches and first events to keepers until cancelled."""
         while True:
-            # An instance that has nothing out sleeps: most do, most of the time.
-            await self._anything_out.wait()
+            # Without dispatched requests there is nothing to report: don't poll.
+            await self._has_outstanding.wait()
             await asyncio.sleep(PROGRESS_SECONDS)
             for shard in list(self._outstanding):
-                self._report(shard)
+                self._report_progress(shard)
 
-    async def _watch(self, name: str, patience: float) -> None:
-        """Return with the answer; raise KeeperSilent when nobody gives a sign."""
+    async def _wait_acknowledged(self, name: str, patience: float) -> None:
+        """Return when the demand is decided; raise KeeperSilent without a reply."""
         future = self._pending[name].future
         while True:
-            renewed_at = clock.now()
+            checked_at = clock.now()
             done, _ = await asyncio.wait([future], timeout=patience)
             if done:
                 return
-            if self._signs.get(name, 0.0) < renewed_at:
+            if self._acknowledged_at.get(name, 0.0) < checked_at:
                 raise exceptions.KeeperSilent(self._pending[name].demand.shard)
             done, _ = await asyncio.wait([future], timeout=PROBE_SECONDS - patience)
             if done:
                 return
             self._resend(self._pending[name])
 
-    def _renewal_asked(self, shard: str) -> None:
+    def _renew_locally(self, shard: str) -> None:
         self._keeper.renewal(self._local, self._renewal(shard))
 
-    def _report(self, shard: str) -> None:
+    def _report_progress(self, shard: str) -> None:
         now = clock.now()
         steps = []
         for sent in self._outstanding[shard].values():
@@ -257,7 +258,7 @@
             if step is not None:
                 steps.append(step)
         if steps:
-            self._notify(shard, messages.Progress(shard, steps))
+            self._send(shard, messages.Progress(shard, steps))
 
     def _renewal(self, shard: str) -> messages.Renewal:
         sent = self._outstanding.get(shard, {})
@@ -265,13 +266,13 @@
 
     def _renew(self, shard: str) -> None:
         if self._outstanding[shard]:
-            self._notify(shard, self._renewal(shard))
+            self._send(shard, self._renewal(shard))
             return
         del self._outstanding[shard]
         if not self._outstanding:
-            self._anything_out.clear()
+            self._has_outstanding.clear()
 
-    def _estimated(self, demand: messages.Demand) -> messages.Demand:
+    def _with_estimates(self, demand: messages.Demand) -> messages.Demand:
         return demand._replace(
             prompt_tokens=self._lengths.prompt_tokens(
                 demand.service, demand.prompt_tokens
@@ -281,7 +282,9 @@
             ),
         )
 
-    def _learn(self, item: messages.Outstanding, message: messages.Release) -> None:
+    def _update_estimates(
+        self, item: messages.Outstanding, message: messages.Release
+    ) -> None:
         self._lengths.learn_prompt(
             item.service, item.prompt_tokens, message.prompt_tokens
         )
@@ -289,9 +292,10 @@
             item.service, item.team, item.output_tokens, message.output_tokens
         )
 
-    def _redirected(self, replier: shards.Replier, message: messages.NotKeeper) -> None:
-        # The views differ for a moment. The named keeper is asked once, at once; when
-        # it disagrees too, the next renewal asks again.
+    def _redirect(self, replier: shards.Replier, message: messages.NotKeeper) -> None:
+        # Membership views differ for a moment after a change. The demand is sent to the
+        # named keeper once; when that one also redirects it, the next renewal repeats
+        # the demand.
         pending = self._pending.get(message.id)
         if pending is None or message.keeper in ("", replier.instance):
             return
@@ -299,40 +303,41 @@
             return
         link = self._membership.link(message.keeper)
         if message.keeper == self._settings.instance:
-            self._notify_local(self._now(pending))
+            self._deliver_locally(self._updated_demand(pending))
         elif link is not None:
-            link.send(self._now(pending))
+            link.send(self._updated_demand(pending))
 
-    def _elsewhere(self, message: messages.Moved) -> None:
+    def _move_demand(self, message: messages.Moved) -> None:
         pending = self._pending.get(message.id)
         if pending is None or pending.demand.shard != message.shard:
-            # It has ended, or has been moved before: a demand that was sent twice is
-            # moved twice.
+            # The request has ended, or its demand has already moved: a demand that was
+            # sent twice is also moved twice.
             return
         demand = pending.demand._replace(
             shard=message.target, moves=pending.demand.moves + 1
         )
         pending = self._pending[message.id] = pending._replace(demand=demand)
-        self._signs[message.id] = clock.now()
+        self._acknowledged_at[message.id] = clock.now()
         self._resend(pending)
 
-    def _permit(self, replier: shards.Replier, permit: messages.Permit) -> None:
+    def _accept_permit(self, replier: shards.Replier, permit: messages.Permit) -> None:
         pending = self._pending.get(permit.id)
         if pending is None:
-            self._give_back(replier, permit)
+            self._return_permit(replier, permit)
             return
         if permit.shard != pending.demand.shard:
-            # Granted where it was before it was moved; only one may be used.
-            self._give_back(replier, permit)
+            # Granted by the shard that the demand has left; only one may be used.
+            self._return_permit(replier, permit)
             return
         if pending.future.done() or permit.server in pending.demand.avoid:
-            # A repeat, or one given before the keeper knew that this server refused a
-            # connection. The keeper knows by now, or the permit expires.
+            # A duplicate, or a permit granted before the keeper learnt that this server
+            # refused a connection. The keeper has learnt it by now, or the permit
+            # expires.
             return
-        if self._is_late() or clock.now() < self._void_until:
-            # This process was paused. The permit may have lain in the socket for as
-            # long as that, and the callers' disconnections lie there too: taken now,
-            # it would dispatch work that nobody waits for. Ask again instead.
+        if self._was_paused() or clock.now() < self._rejects_permits_until:
+            # This process was paused. The permit may be as old as the pause, and the
+            # disconnections of callers may still be unread: using the permit could
+            # dispatch a request without a caller. Return it and demand again.
             replier.send(messages.Withdraw(permit.id, permit.shard))
             self._resend(pending)
             return
@@ -341,43 +346,43 @@
             Permission(permit.server, expires_at, pending.demand.shard)
         )
 
-    def _give_back(self, replier: shards.Replier, permit: messages.Permit) -> None:
-        # The request has ended meanwhile, or a second keeper has granted too: without
-        # this the engine's capacity would be held until the permit's end. A repeat of
-        # the permit in use is left alone, giving it back would free a busy engine.
+    def _return_permit(self, replier: shards.Replier, permit: messages.Permit) -> None:
+        # The request has ended, or a second keeper has granted it too: unless the
+        # permit is returned, it holds engine capacity until it expires. A duplicate of
+        # the permit in use is ignored; returning it would free a busy slot.
         sent = self._outstanding.get(permit.shard, {}).get(permit.id)
         if sent is not None and sent.item.server == permit.server:
             return
         replier.send(messages.Withdraw(permit.id, permit.shard))
 
-    def _now(self, pending: Pending) -> messages.Demand:
+    def _updated_demand(self, pending: Pending) -> messages.Demand:
         now = clock.now()
         remaining = int((pending.deadline - now) * 1000.0)
         demand = pending.demand._replace(remaining_ms=max(remaining, 0))
         if not demand.first_ms:
             return demand
-        passed = int((now - pending.made_at) * 1000.0)
+        passed = int((now - pending.created_at) * 1000.0)
         return demand._replace(first_ms=max(demand.first_ms - passed, 1))
 
-    def _is_late(self) -> bool:
-        late = LATE_RENEWALS * self._settings.keeper.renew_seconds
-        return clock.now() - self._renewed_at > late
+    def _was_paused(self) -> bool:
+        limit_seconds = PAUSE_RENEWALS * self._settings.keeper.renew_seconds
+        return clock.now() - self._renewed_at > limit_seconds
 
     def _resend(self, pending: Pending) -> None:
         if not pending.future.done():
-            self._notify(pending.demand.shard, self._now(pending))
+            self._send(pending.demand.shard, self._updated_demand(pending))
 
-    def _notify(self, shard: str, message: ToKeeper) -> None:
+    def _send(self, shard: str, message: ToKeeper) -> None:
         name = self._keeper.keeper_of(shard)
-        self._keepers[shard] = name
+        self._last_keepers[shard] = name
         if name == self._settings.instance:
-            self._notify_local(message)
+            self._deliver_locally(message)
             return
         link = self._membership.link(name)
         if link is not None:
             link.send(message)
 
-    def _notify_local(self, message: ToKeeper) -> None:
+    def _deliver_locally(self, message: ToKeeper) -> None:
         if isinstance(message, messages.Demand):
             self._keeper.demand(self._local, message)
         elif isinstance(message, messages.Withdraw):
@@ -389,14 +394,14 @@
         else:
             self._keeper.renewal(self._local, message)
 
-    def _up(self, link: peers.Link) -> None:
-        # Frames sent on the old connection may be lost: send everything again.
-        for shard, name in list(self._keepers.items()):
+    def _on_link_up(self, link: peers.Link) -> None:
+        # Frames sent on the previous connection may be lost: send everything again.
+        for shard, name in list(self._last_keepers.items()):
             if name == link.instance:
                 self._resend_shard(shard)
 
-    def _moved(self) -> None:
-        for shard, name in list(self._keepers.items()):
+    def _on_members_changed(self) -> None:
+        for shard, name in list(self._last_keepers.items()):
             if self._keeper.keeper_of(shard) == name:
                 continue
             logs.event(
--- a/packages/daemon/cassiaquay_daemon/keepers/floors.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/floors.py
@@ -1,9 +1,9 @@
-"""Floors between the shards of a pool: lower tiers wait everywhere before one is shed.
+"""Floors, which make all shards of a pool hold lower tiers back before one sheds.
 
-A pool of more than 16 backend servers has several shards with a keeper each. Strict
-order within a shard does not keep one of them from shedding a tier while another
-still serves a lower one. So a shard that must shed first asks the others of its pool
-to hold the lower tiers back, and sheds when all of them do.
+A pool of more than 16 backend servers has several shards, each with its own keeper.
+Strict priority within each shard does not prevent one shard from shedding a tier while
+another still serves a lower one. So a keeper that has to shed first asks the keepers of
+the pool's other shards to hold lower tiers back, and sheds when all of them do.
 """
 
 import typing
@@ -15,30 +15,30 @@
 from ..links import peers
 from . import siblings
 
-# Lower tiers get no slot anywhere for so long after a request was shed: the time that
-# the policies hold them back in the shard itself, and the way there and back.
+# For this long after a request was shed, lower tiers get no slot in any shard: the time
+# that policies hold them back in the shedding shard, plus a round trip.
 HOLD_SECONDS = 0.4
-# A floor is asked for again when so much of it is left, so that a long overload does
-# not wait for answers each time.
-RENEW_SECONDS = 0.2
-# Whoever does not answer is cut off or dead. A request that is given up gets its answer
-# at once, not when the partition heals.
+# A floor is requested again when this much of it is left, so that shedding during a
+# long overload doesn't wait for answers each time.
+RENEW_BEFORE_SECONDS = 0.2
+# A keeper that has not answered by then is partitioned or down. The request is shed
+# without its answer, so that the caller needn't wait for the partition to heal.
 ANSWER_TIMEOUT_SECONDS = 0.2
 
 
-class Asked(typing.NamedTuple):
-    """What a shard has asked of another one.
+class FloorRequest(typing.NamedTuple):
+    """A floor that one shard has requested from another.
 
     Attributes
     ----------
     rank : int
         Ranks greater than this are to be held back.
     at : float
-        When it was asked; seconds on this clock.
+        Time of the last request; seconds on this clock.
     first_at : float
-        When it was first asked without an answer since; seconds on this clock.
+        Time of the first request since the last answer; seconds on this clock.
     held_until : float
-        Until when the other one holds back, as far as it has answered.
+        When the floor that the other shard has acknowledged ends.
     """
 
     rank: int
@@ -48,19 +48,19 @@
 
 
 class Role(typing.Protocol):
-    """The keeper role, as floors need it."""
+    """The part of the keeper that floors use."""
 
     shards: dict[str, shards.Shard]
 
     def hold(self, floor: messages.Floor) -> bool:
-        """Hold the lower tiers of a shard back; False when it is not kept here."""
+        """Hold a shard's lower tiers back; False if this instance is not its keeper."""
 
     def serve_soon(self, name: str) -> None:
-        """Look at a shard's queue once more."""
+        """Schedule a pass over a shard's queue."""
 
 
 class Floors:
-    """What the shards kept here ask of the others, and are asked by them.
+    """Requests floors for the shards kept here, and holds floors for other shards.
 
     Parameters
     ----------
@@ -68,67 +68,69 @@
         Connections to other keepers.
     kept : Role
         This instance's keeper role.
-    mates : Siblings
-        The other shards of its pools.
+    pool_shards : Siblings
+        The other shards of the pools and their keepers.
     """
 
-    def __init__(self, links: peers.Peers, kept: Role, mates: siblings.Siblings):
+    def __init__(self, links: peers.Peers, kept: Role, pool_shards: siblings.Siblings):
         self._kept = kept
-        self._siblings = mates
-        self._asked: dict[tuple[str, str], Asked] = {}
+        self._siblings = pool_shards
+        self._floor_requests: dict[tuple[str, str], FloorRequest] = {}
         links.on(messages.Floor, self.floor)
         links.on(messages.FloorHeld, self.held)
 
-    def ready(self, source: str, rank: int) -> bool:
-        """Tell whether a shard may shed a rank now; ask the others when not yet."""
-        found = True
+    def may_shed(self, source: str, rank: int) -> bool:
+        """Return whether a shard may shed a rank now; request floors if not yet."""
+        is_ready = True
         for shard in self._siblings.of(source):
-            if not self._holds(source, shard, rank):
-                found = False
-        return found
+            if not self._is_held(source, shard, rank):
+                is_ready = False
+        return is_ready
 
     def floor(self, replier: shards.Replier, message: messages.Floor) -> None:
-        """Hold back in a shard kept here and say so."""
+        """Handle another shard's request for a floor and acknowledge it."""
         if not self._kept.hold(message):
-            # No answer: the asker's patience ends, or it learns of another keeper.
+            # No answer: the sender times out, or learns which instance is the keeper.
             return
         replier.send(messages.FloorHeld(message.shard, message.source, message.rank))
 
     def held(self, replier: shards.Replier, message: messages.FloorHeld) -> None:
-        """Take in that another shard holds back."""
-        self._take(message.source, message.shard, message.rank)
+        """Handle another shard's acknowledgement of a floor."""
+        self._record_held(message.source, message.shard, message.rank)
         if message.source in self._kept.shards:
             self._kept.serve_soon(message.source)
 
-    def _holds(self, source: str, shard: str, rank: int) -> bool:
+    def _is_held(self, source: str, shard: str, rank: int) -> bool:
         now = clock.now()
-        asked = self._asked.get((source, shard))
-        if asked is None or asked.rank > rank or now > asked.at + HOLD_SECONDS:
-            # Nothing asked yet, only for a less important rank, or long ago.
-            asked = Asked(rank, now, now)
-            self._ask(source, shard, asked)
-        elif now > asked.at + HOLD_SECONDS - RENEW_SECONDS:
-            first_at = now if asked.held_until > now else asked.first_at
-            asked = asked._replace(at=now, first_at=first_at)
-            self._ask(source, shard, asked)
-        asked = self._asked[(source, shard)]
-        return now < asked.held_until or now > asked.first_at + ANSWER_TIMEOUT_SECONDS
-
-    def _ask(self, source: str, shard: str, asked: Asked) -> None:
-        self._asked[(source, shard)] = asked
+        request = self._floor_requests.get((source, shard))
+        if request is None or request.rank > rank or now > request.at + HOLD_SECONDS:
+            # No floor was requested, only one for a lower tier, or it has expired.
+            request = FloorRequest(rank, now, now)
+            self._request_floor(source, shard, request)
+        elif now > request.at + HOLD_SECONDS - RENEW_BEFORE_SECONDS:
+            first_at = now if request.held_until > now else request.first_at
+            request = request._replace(at=now, first_at=first_at)
+            self._request_floor(source, shard, request)
+        request = self._floor_requests[(source, shard)]
+        return (
+            now < request.held_until or now > request.first_at + ANSWER_TIMEOUT_SECONDS
+        )
+
+    def _request_floor(self, source: str, shard: str, request: FloorRequest) -> None:
+        self._floor_requests[(source, shard)] = request
         hold_ms = int(HOLD_SECONDS * 1000)
-        message = messages.Floor(shard, source, asked.rank, hold_ms)
+        message = messages.Floor(shard, source, request.rank, hold_ms)
         if self._siblings.send(self._siblings.keeper_of(shard), message):
             return
         if self._kept.hold(message):
-            self._take(source, shard, asked.rank)
+            self._record_held(source, shard, request.rank)
 
-    def _take(self, source: str, shard: str, rank: int) -> None:
-        asked = self._asked.get((source, shard))
-        if asked is None or asked.rank < rank:
+    def _record_held(self, source: str, shard: str, rank: int) -> None:
+        request = self._floor_requests.get((source, shard))
+        if request is None or request.rank < rank:
             return
-        # Counted from the question: the other one's own count began later, so it still
-        # holds back when this one takes the floor for over.
-        self._asked[(source, shard)] = asked._replace(
-            held_until=asked.at + HOLD_SECONDS
+        # Counted from the time of the request: the other keeper starts its timer later,
+        # so it still holds back when this keeper considers the floor expired.
+        self._floor_requests[(source, shard)] = request._replace(
+            held_until=request.at + HOLD_SECONDS
         )
--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -1,7 +1,8 @@
-"""The keeper role: admission to the shards that rendezvous hashing gives this instance.
+"""The keeper role: admission to the shards that rendezvous hashing assigns.
 
-Two instances may take themselves for the keeper of a shard for a while. Engines then
-get more than they should; no request is dispatched twice, since only its owner can.
+While membership views differ, two instances may both act as the keeper of a shard.
+Engines are then overloaded for a while, but no request is dispatched twice, since only
+its owner can dispatch it.
 """
 
 import asyncio
@@ -19,36 +20,37 @@
 from . import baselines, floors, siblings, spillover
 
 DEFAULT_POLICY = tiered.NAME
-# Imported for what they register.
+# Imported so that they register their policies.
 POLICIES = (tiered, objectives, baselines)
 TICK_SECONDS = 0.1
-# After a pass over a queue the keeper rests for this share of the time that it took.
-# Under overload each message asks for a pass; without a rest passes would fill the
-# processor, and messages, heartbeats and callers of this instance would wait for them.
-REST_SHARE = 1.0
-# The members must not have changed for so long before shards are taken up without a
-# demand: while a fleet starts, each instance that knows few others takes itself for the
-# keeper of everything.
-CALM_SECONDS = 0.3
-# More owners than this are not asked one by one; a new keeper waits for them instead.
-MOST_ASKED = 32
+# After a pass over a queue, the next pass is delayed by at least this share of the time
+# that the pass took. Under overload each message requests a pass; without the delay,
+# passes would saturate the event loop and hold up messages, heartbeats and callers.
+PASS_DELAY_SHARE = 1.0
+# Membership must have been stable for this long before shards are opened without a
+# demand: while a fleet starts, an instance that has seen few members considers itself
+# the keeper of most shards.
+STABLE_SECONDS = 0.3
+# With more owners than this, a new keeper sends them no queries; it waits for their
+# periodic renewals instead.
+MAX_QUERIED_OWNERS = 32
 
 
 class Keeper:
-    """All shards that this instance keeps.
+    """Admits requests to all shards that this instance keeps.
 
     Parameters
     ----------
     settings : Settings
-        Policy, lives of permits and leases.
+        Policy, lifetimes of permits and leases.
     links : Peers
         Connections from owners.
     membership : Membership
-        Which servers leave, and who else may be the keeper.
+        Live instances, the keeper of each shard, and which servers are leaving.
     configured : Configuration
         The pools.
     pauses : Pauses, optional
-        Whether this process has just slept through its leases.
+        Reports when this process was paused for longer than its leases.
     """
 
     def __init__(
@@ -60,37 +62,37 @@
         pauses: pause.Pauses | None = None,
     ):
         self.shards: dict[str, shards.Shard] = {}
-        # Engines that are about to be loaded or do not have their model yet.
+        # Engines that are about to load a model or have not finished loading it.
         self.draining: set[str] = set()
         self.cold = slow_start.SlowStart(settings)
         self._settings = settings
         self._membership = membership
         self._configured = configured
         self._policies: dict[str, policies.Policy] = {}
-        self._due: set[str] = set()
-        # When the next pass over a shard's queue may begin; seconds on this clock.
-        self._rested_at: dict[str, float] = {}
-        # Demands that have not been acknowledged to their owners yet.
-        self._fresh: dict[str, dict[str, shards.Replier]] = {}
+        self._scheduled: set[str] = set()
+        # Earliest start of the next pass over a shard's queue; seconds on this clock.
+        self._next_pass_at: dict[str, float] = {}
+        # Demands that are to be acknowledged to their owners, by shard and request id.
+        self._unacknowledged: dict[str, dict[str, shards.Replier]] = {}
         self._pauses = pauses or pause.Pauses(pause.shortest_lease(settings))
-        self._pauses.on_overslept(self._overslept)
-        self._ask_local: collections.abc.Callable[[str], None] = _nothing
+        self._pauses.on_overslept(self._on_pause)
+        self._renew_local: collections.abc.Callable[[str], None] = _no_local_owner
         self._ticked_at = clock.now()
-        self._changed_at = clock.now()
-        mates = siblings.Siblings(
+        self._members_changed_at = clock.now()
+        pool_shards = siblings.Siblings(
             settings.instance, membership, self.keeper_of, self._snapshot
         )
-        self._floors = floors.Floors(links, self, mates)
-        self._spillover = spillover.SpillOver(links, self, mates)
+        self._floors = floors.Floors(links, self, pool_shards)
+        self._spillover = spillover.SpillOver(links, self, pool_shards)
         links.on(messages.Demand, self.demand)
         links.on(messages.Withdraw, self.withdraw)
         links.on(messages.Release, self.release)
         links.on(messages.Renewal, self.renewal)
         links.on(messages.Progress, self.progress)
-        links.on(messages.HealthQuery, self._health_asked)
-        links.on_down(self._lost)
+        links.on(messages.HealthQuery, self._on_health_query)
+        links.on_down(self._on_link_down)
         configured.on_accept(self._refresh)
-        membership.on_change(self._members_changed)
+        membership.on_change(self._on_members_changed)
 
     def keeper_of(self, shard: str) -> str:
         """Return the instance that should be the keeper of a shard."""
@@ -99,7 +101,7 @@
         return self._membership.keeper_of(shard)
 
     def keeps(self, shard: str) -> bool:
-        """Tell whether this instance should be the keeper of a shard."""
+        """Return whether this instance should be the keeper of a shard."""
         return self.keeper_of(shard) == self._settings.instance
 
     def policy(self, shard: str) -> policies.Policy | None:
@@ -107,15 +109,16 @@
         return self._policies.get(shard)
 
     def on_ask(self, call: collections.abc.Callable[[str], None]) -> None:
-        """Call ``call`` when this instance's own requests in a shard are asked for."""
-        self._ask_local = call
+        """Register the call that renews this instance's own leases in a shard."""
+        self._renew_local = call
 
     def demand(self, replier: shards.Replier, demand: messages.Demand) -> None:
-        """Queue a demand, or say that another instance is the keeper."""
+        """Queue a demand, or redirect its owner to the keeper."""
         keeper = self.keeper_of(demand.shard)
         if keeper != self._settings.instance:
-            # Two keepers of a shard would each fill the engines. The owner asks the
-            # named one; should that one disagree, the owner's next renewal decides.
+            # Two keepers of a shard would each fill the engines. The owner sends the
+            # demand to the named one; if that one also redirects it, the owner repeats
+            # the demand with its next renewal.
             replier.send(messages.NotKeeper(demand.id, keeper))
             return
         shard = self._shard(demand.shard)
@@ -124,11 +127,11 @@
             return
         shard.add(demand, replier)
         if demand.acknowledge:
-            self._fresh.setdefault(demand.shard, {})[demand.id] = replier
+            self._unacknowledged.setdefault(demand.shard, {})[demand.id] = replier
         self.serve_soon(demand.shard)
 
     def withdraw(self, replier: shards.Replier, message: messages.Withdraw) -> None:
-        """Forget a demand or an unused permit."""
+        """Remove a demand or an unused permit."""
         shard = self.shards.get(message.shard)
         if shard is None:
             return
@@ -136,7 +139,7 @@
         self.serve_soon(message.shard)
 
     def release(self, replier: shards.Replier, message: messages.Release) -> None:
-        """Free what a finished request held and learn from it."""
+        """Free the capacity of a finished request and update the policy's estimates."""
         shard = self.shards.get(message.shard)
         if shard is None:
             return
@@ -145,21 +148,21 @@
         self.serve_soon(message.shard)
 
     def renewal(self, replier: shards.Replier, message: messages.Renewal) -> None:
-        """Renew leases; a new keeper learns from it what is out."""
+        """Renew an owner's leases; a new keeper learns of dispatched requests here."""
         shard = self._shard(message.shard)
         if shard is not None:
             shard.renew(replier.instance, message.outstanding)
             self.serve_soon(message.shard)
 
     def progress(self, replier: shards.Replier, message: messages.Progress) -> None:
-        """Take in which permits are in use and which prompts have been read."""
+        """Record which permits are in use and which prompts have been read."""
         shard = self.shards.get(message.shard)
         if shard is not None:
             shard.progress(message)
             self.serve_soon(message.shard)
 
     def hold(self, floor: messages.Floor) -> bool:
-        """Hold the lower tiers of a shard back; False when it is not kept here."""
+        """Hold a shard's lower tiers back; False if this instance is not its keeper."""
         shard = self._shard(floor.shard) if self.keeps(floor.shard) else None
         if shard is None:
             return False
@@ -167,7 +170,7 @@
         return True
 
     def health(self, name: str) -> messages.Health:
-        """Return what gets through a shard, as far as this instance knows."""
+        """Return the lowest rank that a shard refuses, or -1 for none or unknown."""
         shard = self.shards.get(name)
         if shard is None:
             return messages.Health(name, -1, 0)
@@ -175,12 +178,12 @@
         return messages.Health(name, floor, retry_after_ms)
 
     def serve_soon(self, name: str) -> None:
-        """Look at a shard's queue once the messages at hand are read."""
-        # Many demands and releases arrive in one read: serve them once, together.
-        if name in self._due:
+        """Schedule a pass over a shard's queue after pending messages are read."""
+        # Many demands and releases arrive in one read: one pass serves them together.
+        if name in self._scheduled:
             return
-        self._due.add(name)
-        wait = self._rested_at.get(name, 0.0) - clock.now()
+        self._scheduled.add(name)
+        wait = self._next_pass_at.get(name, 0.0) - clock.now()
         loop = asyncio.get_running_loop()
         if wait <= 0.0:
             loop.call_soon(self._serve, name)
@@ -188,31 +191,32 @@
             loop.call_later(wait, self._serve, name)
 
     async def tick(self) -> None:
-        """Let leases expire and serve again, for ever."""
+        """Expire leases and serve all shards periodically until cancelled."""
         while True:
             self.tick_once()
             await asyncio.sleep(TICK_SECONDS)
 
     def tick_once(self) -> None:
-        """Let leases expire and serve again, once."""
-        self._wake()
+        """Expire leases and serve all shards once."""
+        self._detect_pause()
         self._open_early()
         for name, shard in list(self.shards.items()):
             shard.expire()
             if self.keeps(name):
-                self._update(shard)
-                self._ask(shard)
+                self._update_shard(shard)
+                self._query_owners(shard)
             self._serve(name)
         self._spillover.report_waits()
 
     def _open_early(self) -> None:
-        """Take up the shards to be kept here before the first demand comes.
+        """Open the shards that this instance keeps before their first demand arrives.
 
-        A keeper grants nothing until it knows what is out, for a second in a large
-        fleet. Counted from the first demand, that second is every caller's of that
-        shard; counted from when the role is known, it has mostly passed by then.
+        A new keeper grants nothing until owners have reported their dispatched
+        requests, about a second in a large fleet. If that second began with the first
+        demand, it would delay every caller of the shard; begun when the role is
+        assigned, it has mostly passed by then.
         """
-        if clock.now() - self._changed_at < CALM_SECONDS:
+        if clock.now() - self._members_changed_at < STABLE_SECONDS:
             return
         snapshot = self._configured.current
         if snapshot is None:
@@ -226,27 +230,28 @@
     def _snapshot(self) -> snapshots.Snapshot | None:
         return self._configured.current
 
-    def _health_asked(
+    def _on_health_query(
         self, replier: shards.Replier, query: messages.HealthQuery
     ) -> None:
         replier.send(self.health(query.shard))
 
-    def _wake(self) -> None:
+    def _detect_pause(self) -> None:
         now = clock.now()
-        # After so long without a sign of life the others turn to another keeper.
-        patience = self._settings.membership.suspect_after
-        paused = now - self._ticked_at > patience
+        # After this long without heartbeats, other instances suspect this one and send
+        # their demands to another keeper.
+        suspect_after = self._settings.membership.suspect_after
+        paused = now - self._ticked_at > suspect_after
         self._ticked_at = now
         if paused:
-            self._overslept()
+            self._on_pause()
 
-    def _overslept(self) -> None:
-        # What is queued was true before the pause: its owners have long turned to
-        # another keeper, and permits given now would be a second load on the engines.
+    def _on_pause(self) -> None:
+        # The queue is stale after a pause: owners have sent their demands to another
+        # keeper, and permits granted from it would load the engines a second time.
         logs.event("keeper_paused")
         for shard in self.shards.values():
             shard.drop_queue()
-            shard.close(self._owners())
+            shard.close(self._owners_to_query())
 
     def _shard(self, name: str) -> shards.Shard | None:
         shard = self.shards.get(name)
@@ -256,35 +261,35 @@
         if snapshot is None or not snapshot.shard_servers(name):
             return None
         shard = shards.Shard(name, self._settings, self.cold)
-        shard.close(self._owners())
-        shard.rations.heard = self._heard
-        shard.may_shed = functools.partial(self._floors.ready, name)
+        shard.close(self._owners_to_query())
+        shard.rations.heard = self._alive_share
+        shard.may_shed = functools.partial(self._floors.may_shed, name)
         shard.find_sibling = functools.partial(self._spillover.move, name)
         self.shards[name] = shard
         policy = policies.policies.get(self._settings.keeper.policy)
         self._policies[name] = policy(shard)
-        self._update(shard)
-        self._ask(shard)
+        self._update_shard(shard)
+        self._query_owners(shard)
         return shard
 
-    def _owners(self) -> list[str] | None:
+    def _owners_to_query(self) -> list[str] | None:
         names = [member.instance for member in self._membership.alive()]
-        return names if len(names) <= MOST_ASKED else None
+        return names if len(names) <= MAX_QUERIED_OWNERS else None
 
-    def _ask(self, shard: shards.Shard) -> None:
+    def _query_owners(self, shard: shards.Shard) -> None:
         for owner in sorted(shard.unheard):
             if owner == self._settings.instance:
-                self._ask_local(shard.name)
+                self._renew_local(shard.name)
                 continue
             link = self._membership.link(owner)
             if link is not None:
                 link.send(messages.RenewalQuery(shard.name))
 
-    def _members_changed(self) -> None:
-        self._changed_at = clock.now()
+    def _on_members_changed(self) -> None:
+        self._members_changed_at = clock.now()
 
-    def _heard(self) -> float:
-        """Return the part of the fleet's instances that this one hears."""
+    def _alive_share(self) -> float:
+        """Return the share of the fleet's instances that this one considers alive."""
         alive = len(self._membership.alive())
         return min(alive / self._membership.fleet_size(), 1.0)
 
@@ -293,17 +298,18 @@
         if snapshot is not None:
             self.cold.update(snapshot.fleet)
         for shard in self.shards.values():
-            self._update(shard)
+            self._update_shard(shard)
 
-    def _update(self, shard: shards.Shard) -> None:
+    def _update_shard(self, shard: shards.Shard) -> None:
         snapshot = self._configured.current
         if snapshot is None:
             return
         servers = snapshot.shard_servers(shard.name)
         pool = snapshot.fleet.pools.get(shard.name.rpartition("#")[0])
         if not servers and (pool is None or pool.servers):
-            # The shard has gone from the configuration. What waits was accepted under
-            # an earlier one and is served by that one's servers; nothing new comes.
+            # The configuration no longer has this shard. Waiting requests were accepted
+            # under an earlier revision and are served by the servers of that revision;
+            # no new ones arrive.
             return
         shard.servers = {server.name: server for server in servers}
         shard.weights = {
@@ -314,39 +320,39 @@
         }
         shard.gone = self.draining.intersection(shard.servers)
         for name, server in shard.servers.items():
-            line = self._membership.listed.get(name)
-            if line is not None and line.leaving:
+            listed_server = self._membership.listed.get(name)
+            if listed_server is not None and listed_server.leaving:
                 shard.gone.add(name)
             if snapshot.is_evacuated(server):
                 shard.gone.add(name)
 
     def _serve(self, name: str) -> None:
-        self._wake()
-        self._due.discard(name)
+        self._detect_pause()
+        self._scheduled.discard(name)
         shard = self.shards[name]
         if not self.keeps(name):
-            # Handed over: the owners ask the new keeper, nothing is lost here.
+            # Another instance is the keeper now; owners send their demands to it again.
             shard.drop_queue()
-            self._fresh.pop(name, None)
+            self._unacknowledged.pop(name, None)
             return
         if self._pauses.current and shard.is_open:
-            began = clock.now()
+            started_at = clock.now()
             self._policies[name].serve()
             now = clock.now()
-            self._rested_at[name] = now + (now - began) * REST_SHARE
+            self._next_pass_at[name] = now + (now - started_at) * PASS_DELAY_SHARE
         self._acknowledge(name)
 
     def _acknowledge(self, name: str) -> None:
-        # An owner that hears nothing goes its own way after a moment: those that wait
-        # must know that they are waited for.
-        for request_id, replier in self._fresh.pop(name, {}).items():
+        # An owner without an acknowledgement soon considers the keeper silent and stops
+        # waiting for it.
+        for request_id, replier in self._unacknowledged.pop(name, {}).items():
             if request_id in self.shards[name].queue:
                 replier.send(messages.Queued(request_id, name))
 
-    def _lost(self, link: peers.Link) -> None:
+    def _on_link_down(self, link: peers.Link) -> None:
         for shard in self.shards.values():
             shard.drop_owner(link)
 
 
-def _nothing(shard: str) -> None:
-    """Do nothing: no owner is connected yet."""
+def _no_local_owner(shard: str) -> None:
+    """Do nothing: no local owner is registered yet."""
--- a/packages/daemon/cassiaquay_daemon/keepers/limit_keepers.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/limit_keepers.py
@@ -1,9 +1,9 @@
-"""Limits of teams and services over the whole fleet: the keeper's side.
+"""Fleet-wide limits of teams and services: the keeper's side.
 
-Each limit has one keeper, by rendezvous hashing of what it limits. Owners fetch
-permits from it: of a rate in chunks that expire, of concurrency one by one as leases.
-In a partition each part has its own keeper and grants the whole limit, so the fleet
-uses at most the limit times the parts; docs/design/limits.md has the measured figures.
+Rendezvous hashing of its key assigns each limit to one keeper. Owners fetch permits
+from it: rate permits in chunks that expire, concurrency permits one by one as leases.
+In a partition each part has its own keeper that grants the whole limit, so the fleet
+uses at most the limit times the number of parts; docs/design/limits.md has figures.
 """
 
 import typing
@@ -18,38 +18,39 @@
 
 TEAM = "team"
 SERVICE = "service"
-# A chunk is never more than this share of what is there: the rest is for the others.
-CHUNK_SHARE = 4
+# Beyond what it needs, an owner gets at most one in so many of the available permits;
+# the others stay available to other owners.
+CHUNK_DIVISOR = 4
 CHUNK_LIFETIME_SECONDS = 1.0
 BURST_SECONDS = 1.0
 
 
 class Limit(typing.NamedTuple):
-    """The limits of one team or service; None where there is none."""
+    """The limits of one team or service; None means unlimited."""
 
     rate: float | None
     concurrent: int | None
 
 
 class Lease(typing.NamedTuple):
-    """Requests that one owner runs under a limit, and when that must be renewed."""
+    """Number of requests that one owner runs under a limit, and the lease's expiry."""
 
     held: int
     expires_at: float
 
 
 class Bucket:
-    """The state of one limit at its keeper."""
+    """Token bucket and concurrency leases of one limit at its keeper."""
 
     def __init__(self, now: float):
-        # One permit, not a whole second's: a keeper that takes over does not know
-        # what the one before gave out a moment ago.
+        # Start with one permit instead of a full second's: a keeper that takes over
+        # does not know what the previous keeper has just granted.
         self._permits = 1.0
         self._filled_at = now
         self._leases: dict[str, Lease] = {}
 
     def renew(self, owner: str, held: int, expires_at: float) -> None:
-        """Take in what an owner runs."""
+        """Record how many requests an owner runs, and extend its lease."""
         if held:
             self._leases[owner] = Lease(held, expires_at)
         else:
@@ -58,7 +59,7 @@
     def take(
         self, limit: Limit, query: messages.LimitQuery, now: float
     ) -> tuple[int, float]:
-        """Return permits for a query, and the seconds until there is another one."""
+        """Return the permits granted, and the seconds until the next is available."""
         count = query.needed
         wait = 0.0
         if limit.rate is not None:
@@ -67,7 +68,7 @@
             running = self._running(now)
             free = max(limit.concurrent - running, 0)
             if free < count or (not free and query.needed):
-                wait = max(wait, self._typical_seconds())
+                wait = max(wait, self._concurrency_retry_seconds())
             count = min(count, free, query.needed)
         if limit.rate is not None:
             self._permits -= count
@@ -76,39 +77,39 @@
     def _take_rate(
         self, rate: float, query: messages.LimitQuery, now: float
     ) -> tuple[int, float]:
-        most = max(rate * BURST_SECONDS, 1.0)
+        max_permits = max(rate * BURST_SECONDS, 1.0)
         filled = self._permits + (now - self._filled_at) * rate
-        self._permits = min(filled, most)
+        self._permits = min(filled, max_permits)
         self._filled_at = now
         available = int(self._permits)
-        welcome = max(query.needed, available // CHUNK_SHARE)
-        count = min(query.wanted, available, welcome)
-        missing = max(query.needed - self._permits, 1.0)
-        return count, missing / rate
+        allowed = max(query.needed, available // CHUNK_DIVISOR)
+        count = min(query.wanted, available, allowed)
+        deficit = max(query.needed - self._permits, 1.0)
+        return count, deficit / rate
 
     def _running(self, now: float) -> int:
-        # An owner that died or is cut off renews nothing: its requests end or are
-        # taken as ended with its lease.
+        # An owner that has crashed or is partitioned stops renewing: its requests count
+        # as ended when its lease expires.
         for owner in list(self._leases):
             if self._leases[owner].expires_at < now:
                 del self._leases[owner]
         return sum(lease.held for lease in self._leases.values())
 
-    def _typical_seconds(self) -> float:
+    def _concurrency_retry_seconds(self) -> float:
         return 0.5
 
 
 class LimitKeeper:
-    """All limits that rendezvous hashing gives this instance.
+    """Keeper of all limits that rendezvous hashing assigns to this instance.
 
     Parameters
     ----------
     settings : Settings
-        Lives of leases.
+        Lease lifetime and renewal period.
     links : Peers
         Connections from owners.
     membership : Membership
-        Changes of keepers.
+        Reports membership changes, which may change the keeper of a limit.
     configured : Configuration
         The limits.
     """
@@ -123,20 +124,20 @@
         self._settings = settings
         self._configured = configured
         self._buckets: dict[str, Bucket] = {}
-        self._changed_at = clock.now()
+        self._members_changed_at = clock.now()
         links.on(messages.LimitQuery, self.query)
         links.on(messages.LimitReturn, self.give_back)
-        membership.on_change(self._changed)
+        membership.on_change(self._on_members_changed)
 
     def query(self, replier: shards.Replier, query: messages.LimitQuery) -> None:
-        """Answer with permits."""
+        """Answer an owner's query with permits."""
         limit = self.limit(query.key)
         now = clock.now()
         bucket = self._bucket(query.key, now)
         bucket.renew(replier.instance, query.held, self._expiry(now))
         if limit.concurrent is not None and now < self._opens_at:
-            # The members changed: owners that ran under the keeper before must tell
-            # what they run, or the limit would be given out a second time.
+            # After a membership change this keeper may be new: it waits until owners
+            # have renewed what they run, or the limit would be granted a second time.
             count, wait = 0, self._opens_at - now
         else:
             count, wait = bucket.take(limit, query, now)
@@ -149,13 +150,13 @@
         )
 
     def give_back(self, replier: shards.Replier, message: messages.LimitReturn) -> None:
-        """Take in that requests have ended."""
+        """Handle an owner's report of how many requests it still runs."""
         now = clock.now()
         bucket = self._bucket(message.key, now)
         bucket.renew(replier.instance, message.held, self._expiry(now))
 
     def limit(self, key: str) -> Limit:
-        """Return the limits that the fleet text sets for a key."""
+        """Return the limits that the fleet text, the configuration, sets for a key."""
         snapshot = self._configured.current
         kind, _, name = key.partition(" ")
         if snapshot is None:
@@ -172,7 +173,7 @@
 
     @property
     def _opens_at(self) -> float:
-        return self._changed_at + self._settings.keeper.renew_seconds * 1.5
+        return self._members_changed_at + self._settings.keeper.renew_seconds * 1.5
 
     def _expiry(self, now: float) -> float:
         return now + self._settings.keeper.lease_seconds
@@ -182,5 +183,5 @@
             self._buckets[key] = Bucket(now)
         return self._buckets[key]
 
-    def _changed(self) -> None:
-        self._changed_at = clock.now()
+    def _on_members_changed(self) -> None:
+        self._members_changed_at = clock.now()
--- a/packages/daemon/cassiaquay_daemon/keepers/limits.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/limits.py
@@ -1,8 +1,8 @@
-"""Limits of teams and services over the whole fleet: the owner's side.
+"""Fleet-wide limits of teams and services: the owner's side.
 
-Fetching permits of a rate in chunks and using the one that ends first is the idea of
-the related reading on hall passes: a request mostly finds a permit here, and asks the
-limit's keeper only now and then.
+Rate permits are fetched in chunks and used in order of expiry, an idea from the related
+reading on hall passes: most requests find a cached permit, and only some need a round
+trip to the limit's keeper.
 """
 
 import asyncio
@@ -20,40 +20,40 @@
 from ..links import peers
 from . import limit_keepers
 
-CHUNK = 8
-ASK_SECONDS = 0.3
-ASK_TRIES = 4
-JITTER = 0.5
-LEAST_RETRY_MS = 50
-# Callers of less important tiers are told to stay away longer.
-RANK_FACTOR = 0.5
+CHUNK_PERMITS = 8
+QUERY_TIMEOUT_SECONDS = 0.3
+QUERY_ATTEMPTS = 4
+RETRY_JITTER = 0.5
+MIN_RETRY_MS = 50
+# Callers of lower tiers get a longer retry-after time, by this factor per rank.
+RETRY_FACTOR_PER_RANK = 0.5
 
 
-class _Stash:
-    """Permits and waiting requests of one limit."""
+class _PermitCache:
+    """Cached permits and waiting requests of one limit."""
 
     def __init__(self) -> None:
         self.held = 0
-        self.asked_at = float("-inf")
+        self.queried_at = float("-inf")
         self.waiters: list[asyncio.Future[int]] = []
-        # Ends of the permits here, the one that ends first is used first.
-        self._ends: list[float] = []
+        # Heap of the expiry times of cached permits; the earliest is used first.
+        self._expiries: list[float] = []
 
-    def add(self, count: int, end: float) -> None:
-        """Put permits in."""
+    def add(self, count: int, expires_at: float) -> None:
+        """Cache permits."""
         for _ in range(count):
-            heapq.heappush(self._ends, end)
+            heapq.heappush(self._expiries, expires_at)
 
     def take(self, now: float) -> bool:
-        """Use a permit; return whether there was one."""
-        while self._ends:
-            if heapq.heappop(self._ends) > now:
+        """Use a cached permit; return whether there was a valid one."""
+        while self._expiries:
+            if heapq.heappop(self._expiries) > now:
                 return True
         return False
 
 
-class _Local:
-    """Stands for the link when this instance is the limit's keeper itself."""
+class _LocalLink:
+    """Replaces the link to the keeper when this instance is the limit's keeper."""
 
     def __init__(self, instance: str, limits: "Limits"):
         self.instance = instance
@@ -66,16 +66,16 @@
 
 
 class Limits:
-    """Everything that this instance asks of the keepers of limits.
+    """Obtains permits from the keepers of limits for this instance's requests.
 
     Parameters
     ----------
     settings : Settings
-        Periods.
+        Renewal period.
     links : Peers
         Connections to keepers.
     membership : Membership
-        Who keeps which limit.
+        The keeper of each limit, and links to live instances.
     local : LimitKeeper
         This instance's own keeper role.
     """
@@ -90,8 +90,8 @@
         self._settings = settings
         self._membership = membership
         self._keeper = local
-        self._local = _Local(settings.instance, self)
-        self._stashes: dict[str, _Stash] = {}
+        self._local = _LocalLink(settings.instance, self)
+        self._caches: dict[str, _PermitCache] = {}
         self._random = random.Random()
         links.on(messages.LimitPermits, self.answer)
 
@@ -99,7 +99,7 @@
     async def hold(
         self, team: str, service: str, rank: int
     ) -> collections.abc.AsyncIterator[None]:
-        """Run under the limits of a team and a service; raise LimitReached."""
+        """Hold a permit of the team and the service; raise LimitReached without one."""
         held: list[str] = []
         keys = (f"{limit_keepers.TEAM} {team}", f"{limit_keepers.SERVICE} {service}")
         try:
@@ -109,81 +109,85 @@
                     continue
                 await self._take(key, limit, rank)
                 if limit.concurrent is not None:
-                    self._stashes[key].held += 1
+                    self._caches[key].held += 1
                     held.append(key)
             yield
         finally:
             for key in held:
-                stash = self._stashes[key]
-                stash.held -= 1
-                self._notify(key, messages.LimitReturn(key, stash.held))
+                cache = self._caches[key]
+                cache.held -= 1
+                self._send(key, messages.LimitReturn(key, cache.held))
 
     def answer(self, replier: shards.Replier, message: messages.Message) -> None:
-        """Take permits from a keeper."""
+        """Handle permits from a keeper."""
         if not isinstance(message, messages.LimitPermits):
             return
-        stash = self._stashes.get(message.key)
-        if stash is None:
+        cache = self._caches.get(message.key)
+        if cache is None:
             return
-        stash.asked_at = float("-inf")
+        cache.queried_at = float("-inf")
         limit = self._keeper.limit(message.key)
-        end = clock.now() + message.lifetime_ms / 1000.0
-        waiters, stash.waiters = stash.waiters, []
+        expires_at = clock.now() + message.lifetime_ms / 1000.0
+        waiters, cache.waiters = cache.waiters, []
         waiting = [waiter for waiter in waiters if not waiter.done()]
         for waiter in waiting[: message.permits]:
             waiter.set_result(0)
         for waiter in waiting[message.permits :]:
-            waiter.set_result(max(message.retry_after_ms, LEAST_RETRY_MS))
-        left = max(message.permits - len(waiting), 0)
+            waiter.set_result(max(message.retry_after_ms, MIN_RETRY_MS))
+        unused = max(message.permits - len(waiting), 0)
         if limit.concurrent is None:
-            stash.add(left, end)
-        elif left:
-            self._notify(message.key, messages.LimitReturn(message.key, stash.held))
+            cache.add(unused, expires_at)
+        elif unused:
+            self._send(message.key, messages.LimitReturn(message.key, cache.held))
 
     async def renew(self) -> None:
-        """Renew what runs under limits of concurrency, for ever."""
+        """Renew leases of concurrency limits until cancelled."""
         while True:
             await asyncio.sleep(self._settings.keeper.renew_seconds)
-            for key, stash in self._stashes.items():
-                if stash.held:
-                    self._notify(key, messages.LimitReturn(key, stash.held))
+            for key, cache in self._caches.items():
+                if cache.held:
+                    self._send(key, messages.LimitReturn(key, cache.held))
 
     async def _take(self, key: str, limit: limit_keepers.Limit, rank: int) -> None:
-        stash = self._stashes.setdefault(key, _Stash())
-        if limit.concurrent is None and stash.take(clock.now()):
+        cache = self._caches.setdefault(key, _PermitCache())
+        if limit.concurrent is None and cache.take(clock.now()):
             return
         waiter: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        stash.waiters.append(waiter)
-        for _ in range(ASK_TRIES):
-            self._ask(key, stash)
-            # The keeper may just have died: the next one is asked then.
-            done, _pending = await asyncio.wait([waiter], timeout=ASK_SECONDS)
+        cache.waiters.append(waiter)
+        for _ in range(QUERY_ATTEMPTS):
+            self._query_keeper(key, cache)
+            # If the keeper has just failed, the next query goes to its successor.
+            done, _pending = await asyncio.wait([waiter], timeout=QUERY_TIMEOUT_SECONDS)
             if done:
                 break
-        retry_after_ms = waiter.result() if waiter.done() else int(ASK_SECONDS * 1000)
+        retry_after_ms = (
+            waiter.result() if waiter.done() else int(QUERY_TIMEOUT_SECONDS * 1000)
+        )
         if not waiter.done():
             waiter.cancel()
         if retry_after_ms:
             raise exceptions.LimitReached(
                 f"the limit of {key} is reached",
-                retry_after_ms=self._spread(retry_after_ms, rank),
+                retry_after_ms=self._retry_after_ms(retry_after_ms, rank),
             )
 
-    def _ask(self, key: str, stash: _Stash) -> None:
+    def _query_keeper(self, key: str, cache: _PermitCache) -> None:
         now = clock.now()
-        if now - stash.asked_at < ASK_SECONDS:
-            # One question at a time; its answer serves all who wait.
+        if now - cache.queried_at < QUERY_TIMEOUT_SECONDS:
+            # One query at a time; its answer serves all waiting requests.
             return
-        stash.asked_at = now
-        needed = sum(1 for waiter in stash.waiters if not waiter.done())
-        wanted = max(needed, CHUNK)
-        self._notify(key, messages.LimitQuery(key, needed, wanted, stash.held))
-
-    def _spread(self, retry_after_ms: int, rank: int) -> int:
-        factor = 1.0 + RANK_FACTOR * rank + JITTER * self._random.random()
+        cache.queried_at = now
+        needed = sum(1 for waiter in cache.waiters if not waiter.done())
+        wanted = max(needed, CHUNK_PERMITS)
+        self._send(key, messages.LimitQuery(key, needed, wanted, cache.held))
+
+    def _retry_after_ms(self, retry_after_ms: int, rank: int) -> int:
+        factor = (
+            1.0 + RETRY_FACTOR_PER_RANK * rank + RETRY_JITTER * self._random.random()
+        )
         return int(retry_after_ms * factor)
 
-    def _notify(
+    def _send(
         self, key: str, message: messages.LimitQuery | messages.LimitReturn
     ) -> None:
         name = self._membership.keeper_of(f"limit {key}")
--- a/packages/daemon/cassiaquay_daemon/keepers/sending.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/sending.py
@@ -1,4 +1,4 @@
-"""A dispatched request, as it is reported to its keeper."""
+"""Dispatched requests, with the progress that is still to be reported to the keeper."""
 
 import typing
 
@@ -8,34 +8,34 @@
 
 
 class Counted(typing.Protocol):
-    """An answer in progress, as far as renewals report it."""
+    """The part of an answer in progress that renewals report."""
 
     @property
     def count(self) -> int:
-        """Events so far."""
+        """Number of events received so far."""
 
     @property
     def first_at(self) -> float:
-        """Seconds on this clock of the first event."""
+        """Time of the first event; seconds on this clock."""
 
 
 class Sent:
-    """A dispatched request, with what has not been reported to its keeper yet.
+    """A dispatched request whose progress is reported to its keeper.
 
     Parameters
     ----------
     item : Outstanding
-        As stated by the caller.
+        The request as the dispatcher describes it.
     answer : Counted or None
-        Where its events are counted.
+        Counts the events of its answer.
     """
 
     def __init__(self, item: messages.Outstanding, answer: Counted | None):
         self.item = item
         self.answer = answer
-        self.sent_at = clock.now()
-        self.told_sent = False
-        self.told_first = False
+        self.dispatched_at = clock.now()
+        self.has_reported_dispatch = False
+        self.has_reported_first_event = False
 
     @property
     def renewed(self) -> messages.Outstanding:
@@ -44,14 +44,18 @@
         return self.item._replace(produced=produced)
 
     def step(self, now: float) -> messages.Step | None:
-        """Return what is new, once."""
+        """Return a step that is not reported yet, or None; each step only once."""
         item = self.item
-        if not self.told_sent:
-            self.told_sent = True
-            age_ms = (now - self.sent_at) * 1000.0
+        if not self.has_reported_dispatch:
+            self.has_reported_dispatch = True
+            age_ms = (now - self.dispatched_at) * 1000.0
             return messages.Step(item.id, item.server, False, age_ms)
-        if self.told_first or self.answer is None or not self.answer.count:
+        if (
+            self.has_reported_first_event
+            or self.answer is None
+            or not self.answer.count
+        ):
             return None
-        self.told_first = True
+        self.has_reported_first_event = True
         age_ms = (now - self.answer.first_at) * 1000.0
         return messages.Step(item.id, item.server, True, age_ms)
--- a/packages/daemon/cassiaquay_daemon/keepers/siblings.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/siblings.py
@@ -1,4 +1,4 @@
-"""The other shards of a pool, and the way to their keepers."""
+"""The other shards of a pool, and messages to their keepers."""
 
 import collections.abc
 
@@ -9,14 +9,14 @@
 
 
 class Siblings:
-    """Who keeps the shards that share a pool with those kept here.
+    """Finds the shards that share a pool with a given one, and their keepers.
 
     Parameters
     ----------
     instance : str
         Name of this instance.
     membership : Membership
-        Links to members.
+        Links to live instances.
     keeper_of : callable
         Returns the instance that should be the keeper of a shard.
     current : callable
@@ -41,7 +41,7 @@
         return snapshot.siblings(shard) if snapshot is not None else []
 
     def send(self, keeper: str, message: messages.Message) -> bool:
-        """Send a message to a keeper; False when that is this instance itself."""
+        """Send a message to a keeper; False when this instance is the keeper."""
         if keeper == self._instance:
             return False
         link = self._membership.link(keeper)
--- a/packages/daemon/cassiaquay_daemon/keepers/spillover.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/spillover.py
@@ -1,13 +1,13 @@
-"""Spill-over between the shards of a pool, for demands that would be late in their own.
+"""Spill-over, which moves demands between the shards of a pool to meet deadlines.
 
-Load pattern: a pool of many servers has several shards with a keeper each, and requests
-are spread over them by their prompts. At any moment one of them has the slower servers,
-the longer prompts or the busier sessions. Alone it would refuse requests, and have all
-shards hold lower tiers back for that, while others have free slots.
+Load pattern: a pool of many servers has several shards, each with its own keeper, and
+requests are distributed over them by prompt. At any moment one shard has slower
+servers, longer prompts or busier sessions than the others. Without spill-over it would
+shed requests, and make all shards hold lower tiers back, while others have free slots.
 
 Keepers report to each other how long a new demand of each rank would wait. A demand
-that cannot be in time in its shard goes to the one where it waits least, if it is in
-time there; what is in time nowhere is shed as in a pool of one shard.
+that would miss its deadline in its shard moves to the shard with the shortest wait, if
+it meets the deadline there. Otherwise it is shed, as in a pool of one shard.
 """
 
 import typing
@@ -19,47 +19,47 @@
 from ..links import peers
 from . import siblings
 
-# Waits are reported at each tick of the keeper, every 0.1 s; what is moved meanwhile is
-# added by the sender. After three ticks without a report nothing is moved there: its
-# keeper may be paused or cut off.
+# Waits are reported at each tick of the keeper, every 0.1 s; the sender adds the
+# demands that it has moved since. After three ticks without a report no demand is moved
+# to the shard: its keeper may be paused or partitioned.
 REPORT_LIFETIME_SECONDS = 0.3
-# A demand is moved only when it gains more than the way there and an estimate's error.
+# Least gain for a move: covers the transfer and the error of the estimate.
 GAIN_SECONDS = 0.03
-# After so many moves a demand stays: shards that are all full must not pass it round.
+# Keeps shards that are all full from passing a demand round.
 MAX_MOVES = 2
 
 
 class Role(typing.Protocol):
-    """The keeper role, as spill-over needs it."""
+    """The part of the keeper that spill-over uses."""
 
     shards: dict[str, shards.Shard]
 
     def keeps(self, shard: str) -> bool:
-        """Tell whether this instance should be the keeper of a shard."""
+        """Return whether this instance should be the keeper of a shard."""
 
 
 class _Report:
-    """What another shard has reported, and what was moved there since."""
+    """Waits that another shard has reported, and the demands moved there since."""
 
     def __init__(self, waits: list[messages.RankWait]):
         self.at = clock.now()
         self._waits = {item.rank: item for item in waits}
-        self._moved = 0
+        self._moved_count = 0
 
     def wait(self, rank: int) -> float:
-        """Return the seconds that one more demand of a rank would wait."""
+        """Return how many seconds one more demand of a rank would wait."""
         item = self._waits.get(rank)
         if item is None:
             return float("inf")
-        return (item.wait_ms + item.step_ms * self._moved) / 1000.0
+        return (item.wait_ms + item.step_ms * self._moved_count) / 1000.0
 
-    def moved(self) -> None:
-        """Note that a demand goes there."""
-        self._moved += 1
+    def count_move(self) -> None:
+        """Count a demand that is being moved to this shard."""
+        self._moved_count += 1
 
 
 class SpillOver:
-    """What the shards of this instance's pools know of each other's waits.
+    """Exchanges waits between the shards of a pool and selects targets for moves.
 
     Parameters
     ----------
@@ -67,23 +67,23 @@
         Connections to other keepers.
     kept : Role
         This instance's keeper role.
-    mates : Siblings
-        The other shards of its pools.
+    pool_shards : Siblings
+        The other shards of the pools and their keepers.
     """
 
-    def __init__(self, links: peers.Peers, kept: Role, mates: siblings.Siblings):
+    def __init__(self, links: peers.Peers, kept: Role, pool_shards: siblings.Siblings):
         self._kept = kept
-        self._siblings = mates
+        self._siblings = pool_shards
         self._reports: dict[str, _Report] = {}
-        links.on(messages.Waits, self.heard)
+        links.on(messages.Waits, self.on_waits)
 
     def move(self, source: str, waiting: shards.Waiting, limit: float) -> str:
-        """Return the shard that a demand should go to; empty when there is none.
+        """Return the shard that a demand should move to; empty when there is none.
 
         Parameters
         ----------
         source : str
-            Shard that has it.
+            Shard that holds the demand.
         waiting : Waiting
             The demand.
         limit : float
@@ -91,22 +91,22 @@
         """
         if waiting.demand.moves >= MAX_MOVES:
             return ""
-        since = clock.now() - REPORT_LIFETIME_SECONDS
+        fresh_since = clock.now() - REPORT_LIFETIME_SECONDS
         best = ""
         least = limit - GAIN_SECONDS
         for shard in self._siblings.of(source):
             report = self._reports.get(shard)
-            if report is None or report.at < since:
+            if report is None or report.at < fresh_since:
                 continue
             wait = report.wait(waiting.demand.rank)
             if wait < least:
                 best, least = shard, wait
         if best:
-            self._reports[best].moved()
+            self._reports[best].count_move()
         return best
 
     def report_waits(self) -> None:
-        """Report to other shards' keepers how long demands wait in those kept here."""
+        """Report the waits of the shards kept here to the keepers of their siblings."""
         for name, shard in self._kept.shards.items():
             if not self._kept.keeps(name):
                 continue
@@ -118,7 +118,7 @@
                 if not self._siblings.send(keeper, message):
                     self._reports[message.shard] = _Report(message.waits)
 
-    def heard(self, replier: shards.Replier, message: messages.Waits) -> None:
-        """Take in what another shard reports."""
+    def on_waits(self, replier: shards.Replier, message: messages.Waits) -> None:
+        """Store the waits that another shard's keeper reports."""
         if self._siblings.keeper_of(message.shard) == replier.instance:
             self._reports[message.shard] = _Report(message.waits)
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -177,7 +177,9 @@
         # An id not seen yet may still arrive and run: nothing is said of it.
         return UNSEEN if entry is None else entry.told
 
-    async def cancel(self, request_id: tokens.RequestId, team: str) -> entries.RequestStatus:
+    async def cancel(
+        self, request_id: tokens.RequestId, team: str
+    ) -> entries.RequestStatus:
         """End a request that its caller has given up, and return what became of it."""
         closed = self._closed(request_id, team)
         if closed is not None:
@@ -257,7 +259,9 @@
             raise exceptions.TokenExpired()
         return None
 
-    def _closed(self, request_id: tokens.RequestId, team: str) -> entries.RequestStatus | None:
+    def _closed(
+        self, request_id: tokens.RequestId, team: str
+    ) -> entries.RequestStatus | None:
         if request_id.text in self.held.entries:
             return None
         closed = self.held.closed.find(request_id)
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -303,7 +303,10 @@
 
     async def work() -> None:
         site = Site()
-        many = [fakes.Owner(f"cq-{number}") for number in range(keeper.MOST_ASKED + 8)]
+        many = [
+            fakes.Owner(f"cq-{number}")
+            for number in range(keeper.MAX_QUERIED_OWNERS + 8)
+        ]
         site.members.owners = {owner.instance: owner for owner in many}
         for _ in range(20):
             time.now += keeper.TICK_SECONDS
