--- a/packages/daemon/cassiaquay_daemon/keepers/demands.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/demands.py
@@ -130,7 +130,7 @@
         links.on(messages.RenewalQuery, self.answer)
         links.on_up(self._on_link_up)
         membership.on_change(self._on_members_changed)
-        local.on_ask(self._renew_locally)
+        local.on_renewal_query(self._renew_locally)
 
     async def obtain(
         self, demand: messages.Demand, deadline: float, patience: float | None = None
--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -108,7 +108,7 @@
         """Return the policy of a shard that is kept here."""
         return self._policies.get(shard)
 
-    def on_ask(self, call: collections.abc.Callable[[str], None]) -> None:
+    def on_renewal_query(self, call: collections.abc.Callable[[str], None]) -> None:
         """Register the call that renews this instance's own leases in a shard."""
         self._renew_local = call
 
--- a/tests/test_spillover.py
+++ b/tests/test_spillover.py
@@ -164,7 +164,7 @@
 class Local(fakes.Owner):
     """The keeper role of the instance, which keeps nothing."""
 
-    def on_ask(self, call) -> None:
+    def on_renewal_query(self, call) -> None:
         """Keep nothing."""
 
     def keeper_of(self, shard: str) -> str:
