--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -91,7 +91,7 @@
         links.on(messages.Progress, self.progress)
         links.on(messages.HealthQuery, self._on_health_query)
         links.on_down(self._on_link_down)
-        configured.on_accept(self._refresh)
+        configured.on_accept(self._on_configuration)
         membership.on_change(self._on_members_changed)
 
     def keeper_of(self, shard: str) -> str:
@@ -293,7 +293,7 @@
         alive = len(self._membership.alive())
         return min(alive / self._membership.fleet_size(), 1.0)
 
-    def _refresh(self) -> None:
+    def _on_configuration(self) -> None:
         snapshot = self._configured.current
         if snapshot is not None:
             self.cold.update(snapshot.fleet)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -176,7 +176,7 @@
             await light.until(lambda: "e0" in kept.draining, 10)
             await asyncio.sleep(0.2)
             assert made.engines["e0"].orders.orders == []
-            kept._refresh()
+            kept._on_configuration()
             assert shard.gone == {"e0"}
             shard.drop("x")
             await light.until(lambda: made.at_version("2"), 10)
