--- a/packages/daemon/cassiaquay_daemon/keepers/quotas.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/quotas.py
@@ -1,19 +1,18 @@
-"""Teams' limits over the whole fleet, in tokens, that hold in any partition.
-
-Load pattern: a team sends many times its usual, through every instance at once, while
-instances die or cannot hear each other. A part of what the limit allows in a window is
-each instance's own share, which it spends without asking. What one needs beyond that
-comes from the rest, which the limit's keeper gives out. Own shares and the rest
-together are never more than the fleet may run, whoever is cut off from whom; asking
-only beyond the own share keeps the keeper out of the way of ordinary requests.
-
-Where room comes back soon, a request waits for it: refused, its caller would be back
-no sooner than a fifth of a second later.
-
-Under overload requests that have their share of the limit are refused for want of a
-slot, and their callers come back. What they were given goes back, too: counted each
-time, refusals would use the limit up, and a team below its limit would be refused for
-being over it.
+"""Fleet-wide token limits (quotas) of teams, which hold in any partition.
+
+Load pattern: a team sends many times its usual load through every instance at once,
+while instances crash or are partitioned. Part of what the limit allows in a window is
+split into equal shares, one for each instance, which it spends without a round trip.
+The rest is granted by the limit's keeper to instances that need more than their share.
+The shares and the rest together never exceed what the fleet may run, in any partition,
+and ordinary requests don't depend on the keeper.
+
+If units become available soon, a request waits for them: if it were refused, its caller
+would retry no sooner than a fifth of a second later.
+
+Under overload, requests that were given units are shed for lack of a slot, and their
+callers retry. The units of a shed request are returned. If each attempt counted, sheds
+would use up the limit, and a team below its limit would be refused for exceeding it.
 """
 
 import asyncio
@@ -30,35 +29,36 @@
 from ..fleet import configuration, members
 from ..links import peers
 
-# Part of the bound that is given out at all: windows here and at the servers do not
-# begin at the same moment.
+# Share of the bound that is given out: windows here and at the servers do not start at
+# the same moment.
 USED_SHARE = 0.9
-# Part of that which instances may spend without asking, in a fleet of up to this many.
-# In larger ones an own share would be less than one long request, and what nobody can
-# spend is lost to the team: there the part shrinks, and more is asked for. The larger
-# part is the keeper's: the longest prompt must fit its depth.
+# Share of that which instances may spend without the keeper, in a fleet of up to this
+# many. In larger fleets an instance's share would be smaller than one long request, and
+# units that no instance can spend are lost to the team: there the share shrinks, and
+# more is requested from the keeper. The keeper has the larger part because the longest
+# prompt must fit its depth.
 OWN_SHARE = 0.3
-OWN_INSTANCES = 12
-# A keeper that lives answers within a few round trips, of which some may go for the
-# connection; an instance goes on without it.
-ASK_SECONDS = 0.15
-# Grants are used at once; this much later they can be in another window than here.
-USE_SECONDS = 1.0
-# A keeper takes back what it gave for so long: no request waits longer for a slot.
-RETURN_SECONDS = 15.0
-# Least part of the bound that may be spent at once: requests come in bunches.
-LEAST_DEPTH_SHARE = 0.25
-# Most part: where a limit is far below what its team sends, the slack is most of the
-# bound, and as depth it would be spent once instead of in every window.
-MOST_DEPTH_SHARE = 0.35
-LEAST_RETRY_MS = 200
-MOST_RETRY_MS = 4000
-# A fleet that starts for the first time has spent nothing.
-NOBODY_BEFORE = -math.inf
-
-
-class _Question(typing.NamedTuple):
-    """A question to a limit's keeper and where its answer goes."""
+OWN_SHARE_MAX_INSTANCES = 12
+# A live keeper answers within a few round trips, including those that open the
+# connection. After that an instance continues without its answer.
+QUERY_TIMEOUT_SECONDS = 0.15
+# Grants are used at once, but may reach a server this much later, in another window.
+USE_DELAY_SECONDS = 1.0
+# How long a keeper accepts returns of a grant: no request waits longer for a slot.
+RETURN_WINDOW_SECONDS = 15.0
+# Least share of the bound that may be spent at once, since requests arrive in bursts.
+MIN_DEPTH_SHARE = 0.25
+# Greatest share: for a limit far below the team's load, the slack is most of the bound;
+# as bucket depth it would be spent only once instead of in every window.
+MAX_DEPTH_SHARE = 0.35
+MIN_RETRY_MS = 200
+MAX_RETRY_MS = 4000
+# On the first start of a fleet no units have been spent.
+NEVER_SPENT = -math.inf
+
+
+class _PendingQuery(typing.NamedTuple):
+    """A query to a limit's keeper, and the future of its answer."""
 
     keeper: str
     query: messages.QuotaQuery
@@ -66,18 +66,18 @@
 
 
 class Taken(typing.NamedTuple):
-    """Units of a limit that a request has been given.
+    """Units of a limit that a request has taken.
 
     Attributes
     ----------
     units : int
-        How many.
+        Number of units.
     own : Bucket or None
-        Where they were taken, when that is this instance's own share.
+        Bucket of this instance's own share, if they were taken from it.
     keeper : str
-        Instance that gave them otherwise.
+        Instance that granted them otherwise.
     number : int
-        Number of the question.
+        Number of the query that they were granted for.
     """
 
     units: int
@@ -86,8 +86,8 @@
     number: int = 0
 
 
-class _Given(typing.NamedTuple):
-    """Units that this instance has given as a limit's keeper."""
+class _Grant(typing.NamedTuple):
+    """Units that this instance has granted as a limit's keeper."""
 
     bucket: buckets.Bucket
     units: int
@@ -95,32 +95,32 @@
 
 
 class Amounts(typing.Protocol):
-    """What a request says of its tokens."""
+    """Token counts that a request states."""
 
     @property
     def prompt_tokens(self) -> int:
-        """Tokens of the prompt."""
+        """Number of tokens of the prompt."""
 
     @property
     def most_output_tokens(self) -> int:
-        """Most tokens of the answer."""
+        """Maximum number of tokens of the answer."""
 
     @property
     def counts_tokens(self) -> bool:
-        """Whether it says any."""
+        """Whether the request states its tokens."""
 
 
 class Quotas:
-    """Both sides of teams' limits at one instance.
+    """Both sides of teams' limits at one instance: taking units and granting them.
 
     Parameters
     ----------
     settings : Settings
-        The window and what may be passed.
+        The window, and how far the limit may be exceeded in it.
     links : Peers
-        Connections to keepers and owners.
+        Connections to other instances.
     membership : Membership
-        Who keeps which limit, and how many share it.
+        The keeper of each limit, and the number of instances that share it.
     configured : Configuration
         The limits in force.
     """
@@ -136,80 +136,82 @@
         self._gateway = settings.gateway
         self._membership = membership
         self._configured = configured
-        self._own: dict[str, buckets.Bucket] = {}
-        self._given: dict[str, buckets.Bucket] = {}
-        # By the instance that asked and its number of the question, oldest first.
-        self._returnable: collections.OrderedDict[tuple[str, int], _Given]
+        self._own_buckets: dict[str, buckets.Bucket] = {}
+        self._granted: dict[str, buckets.Bucket] = {}
+        # Grants by querying instance and its query number, oldest first.
+        self._returnable: collections.OrderedDict[tuple[str, int], _Grant]
         self._returnable = collections.OrderedDict()
-        self._questions: dict[int, _Question] = {}
-        self._number = 0
-        # What was spent before is not known: by the process that was here before, and
-        # by whoever was the keeper of a limit before the last change of the members.
-        self._own_from = NOBODY_BEFORE
+        self._pending_queries: dict[int, _PendingQuery] = {}
+        self._query_number = 0
+        # Units spent earlier are unknown: those spent by this instance's previous
+        # process, and those granted by the keeper before the last membership change.
+        self._own_from = NEVER_SPENT
         if not settings.gateway.first_start:
             self._own_from = clock.now()
-        self._given_from = self._own_from
-        links.on(messages.QuotaQuery, self._query)
-        links.on(messages.QuotaAnswer, self._answer)
-        links.on(messages.QuotaReturn, self._returned)
-        links.on_up(self._up)
-        membership.on_change(self._moved)
+        self._granted_from = self._own_from
+        links.on(messages.QuotaQuery, self._on_query)
+        links.on(messages.QuotaAnswer, self._on_answer)
+        links.on(messages.QuotaReturn, self._on_return)
+        links.on_up(self._on_link_up)
+        membership.on_change(self._on_members_changed)
 
     def adopt(self, settings: settings_schema.Settings) -> None:
-        """Take in changed settings."""
+        """Apply changed settings."""
         self._gateway = settings.gateway
 
     async def take(
         self, team: routing.Team | None, facts: Amounts, patience: float = 0.0
     ) -> Taken | None:
-        """Count a request against its team's limit; raise LimitReached when over.
+        """Take a request's units from its team's limit; raise LimitReached when over.
 
-        What is returned goes to :meth:`give_back` when the request never ran; it is
-        None where there is no limit.
+        If the request is not run, pass the result to :meth:`give_back`. The result is
+        None if the team has no limit.
 
         Parameters
         ----------
         team : Team or None
-            Whose request it is.
+            The team that sent the request.
         facts : Amounts
-            What it says of its tokens.
+            The token counts that it states.
         patience : float
-            Seconds that it may wait for room.
+            Seconds that it may wait for units.
         """
         if team is None or team.quota is None:
             return None
         units = units_of(team.quota, facts)
-        own = _bucket(self._own, team.name, self._own_from)
+        own = _bucket_of(self._own_buckets, team.name, self._own_from)
         share = self._own_part() / self._membership.fleet_size()
         flow = self._flow(team.quota).part(share)
         own_wait = own.reserve(units, flow, 0.0)
         if not own_wait:
             return Taken(units, own)
-        keeper = self._membership.keeper_of(_limit(team.name))
-        given = await self._ask(keeper, team.name, units, min(patience, own_wait))
+        keeper = self._membership.keeper_of(_limit_key(team.name))
+        given = await self._query_keeper(
+            keeper, team.name, units, min(patience, own_wait)
+        )
         if given.units:
             taken = Taken(units, keeper=keeper, number=given.number)
-            return await self._wait(taken, given.wait_ms / 1000.0)
+            return await self._wait_reserved(taken, given.wait_ms / 1000.0)
         own_wait = own.reserve(units, flow, patience)
         if own_wait <= patience:
-            return await self._wait(Taken(units, own), own_wait)
+            return await self._wait_reserved(Taken(units, own), own_wait)
         raise _refusal(team.name, own_wait * 1000.0, given.wait_ms)
 
     def give_back(self, taken: Taken) -> None:
-        """Give back what a request took that never ran; once for each request."""
+        """Return the units of a request that was not run; call it once per request."""
         if taken.own is not None:
             taken.own.put_back(taken.units)
             return
         message = messages.QuotaReturn(taken.number)
         if taken.keeper == self._settings.instance:
-            self._take_back(taken.keeper, message)
+            self._accept_return(taken.keeper, message)
             return
         link = self._membership.link(taken.keeper)
         if link is not None:
             link.send(message)
 
-    async def _wait(self, taken: Taken, seconds: float) -> Taken:
-        """Wait for the moment of units that were taken ahead."""
+    async def _wait_reserved(self, taken: Taken, seconds: float) -> Taken:
+        """Wait until units that were reserved ahead become available."""
         try:
             await asyncio.sleep(seconds)
         except asyncio.CancelledError:
@@ -218,14 +220,16 @@
         return taken
 
     def _own_part(self) -> float:
-        """Return the part of a limit that instances spend without asking."""
-        return OWN_SHARE * min(OWN_INSTANCES / self._membership.fleet_size(), 1.0)
+        """Return the share of a limit that instances spend without the keeper."""
+        return OWN_SHARE * min(
+            OWN_SHARE_MAX_INSTANCES / self._membership.fleet_size(), 1.0
+        )
 
     def _flow(self, quota: routing.Quota) -> buckets.Flow:
-        """Return what the fleet may run of a team: never more than the bound a window.
+        """Return the flow that keeps the fleet under the team's bound in any window.
 
-        The team's own rate comes steadily at least, and about what the bound leaves
-        besides may be spent at once.
+        Its rate is about the team's rate or more; what the bound leaves besides is the
+        depth, which may be spent at once.
         """
         gateway = self._gateway
         seconds = gateway.quota_window_seconds
@@ -233,79 +237,84 @@
         if quota.counts_tokens:
             bound += gateway.quota_slack
         bound *= USED_SHARE
-        seconds += USE_SECONDS
-        depth = max(bound - quota.rate * seconds, bound * LEAST_DEPTH_SHARE)
-        depth = min(depth, bound * MOST_DEPTH_SHARE)
+        seconds += USE_DELAY_SECONDS
+        depth = max(bound - quota.rate * seconds, bound * MIN_DEPTH_SHARE)
+        depth = min(depth, bound * MAX_DEPTH_SHARE)
         return buckets.Flow((bound - depth) / seconds, depth)
 
-    def _moved(self) -> None:
-        self._given_from = clock.now()
-        for team in list(self._given):
-            if self._membership.keeper_of(_limit(team)) != self._settings.instance:
-                del self._given[team]
+    def _on_members_changed(self) -> None:
+        self._granted_from = clock.now()
+        for team in list(self._granted):
+            if self._membership.keeper_of(_limit_key(team)) != self._settings.instance:
+                del self._granted[team]
 
-    async def _ask(
+    async def _query_keeper(
         self, keeper: str, team: str, units: int, patience: float
     ) -> messages.QuotaAnswer:
-        """Return what the limit's keeper gives; no units when it gives none."""
-        self._number += 1
-        query = messages.QuotaQuery(self._number, team, units, int(patience * 1000.0))
+        """Return the keeper's answer; zero units if it grants none or is silent."""
+        self._query_number += 1
+        query = messages.QuotaQuery(
+            self._query_number, team, units, int(patience * 1000.0)
+        )
         if keeper == self._settings.instance:
-            return self._give(keeper, query)
-        question = _Question(keeper, query, asyncio.get_running_loop().create_future())
-        self._questions[query.number] = question
+            return self._grant(keeper, query)
+        pending = _PendingQuery(
+            keeper, query, asyncio.get_running_loop().create_future()
+        )
+        self._pending_queries[query.number] = pending
         link = self._membership.link(keeper)
         if link is not None:
             link.send(query)
-        # Without a connection it is being dialled; the question goes out once it is up.
+        # Without a link, a connection is being opened; the query is sent once it is up.
         try:
-            async with asyncio.timeout(ASK_SECONDS):
-                return await question.answer
+            async with asyncio.timeout(QUERY_TIMEOUT_SECONDS):
+                return await pending.answer
         except TimeoutError:
             return messages.QuotaAnswer(query.number, 0)
         finally:
-            del self._questions[query.number]
+            del self._pending_queries[query.number]
 
-    def _up(self, link: peers.Link) -> None:
-        for question in self._questions.values():
-            if question.keeper == link.instance:
-                link.send(question.query)
+    def _on_link_up(self, link: peers.Link) -> None:
+        for pending in self._pending_queries.values():
+            if pending.keeper == link.instance:
+                link.send(pending.query)
 
-    def _give(self, asker: str, query: messages.QuotaQuery) -> messages.QuotaAnswer:
-        """Give units of the common rest, as the limit's keeper."""
+    def _grant(self, instance: str, query: messages.QuotaQuery) -> messages.QuotaAnswer:
+        """Grant units of the keeper's part, as the limit's keeper."""
         quota = self._quota(query.team)
         if quota is None:
             return messages.QuotaAnswer(query.number, 0)
-        # In a partition each part has a keeper of its own: each gives out the part of
-        # the rest that belongs to the instances it can hear.
-        heard = len(self._membership.alive()) / self._membership.fleet_size()
-        rest = self._flow(quota).part((1.0 - self._own_part()) * min(heard, 1.0))
-        given = _bucket(self._given, query.team, self._given_from)
+        # In a partition each side has its own keeper: each grants only the share of the
+        # keeper's part that corresponds to the instances on its side.
+        alive_share = len(self._membership.alive()) / self._membership.fleet_size()
+        flow = self._flow(quota).part((1.0 - self._own_part()) * min(alive_share, 1.0))
+        given = _bucket_of(self._granted, query.team, self._granted_from)
         patience = query.patience_ms / 1000.0
-        wait = given.reserve(query.units, rest, patience)
-        wait_ms = math.ceil(min(wait * 1000.0, MOST_RETRY_MS))
+        wait = given.reserve(query.units, flow, patience)
+        wait_ms = math.ceil(min(wait * 1000.0, MAX_RETRY_MS))
         if wait > patience:
             return messages.QuotaAnswer(query.number, 0, wait_ms)
-        self._note_given(asker, query, given)
+        self._record_grant(instance, query, given)
         return messages.QuotaAnswer(query.number, query.units, wait_ms)
 
-    def _note_given(
-        self, asker: str, query: messages.QuotaQuery, bucket: buckets.Bucket
+    def _record_grant(
+        self, instance: str, query: messages.QuotaQuery, bucket: buckets.Bucket
     ) -> None:
         now = clock.now()
         while self._returnable:
             oldest = next(iter(self._returnable))
-            if self._returnable[oldest].at > now - RETURN_SECONDS:
+            if self._returnable[oldest].at > now - RETURN_WINDOW_SECONDS:
                 break
             del self._returnable[oldest]
-        given = _Given(bucket, query.units, now)
-        self._returnable[(asker, query.number)] = given
-
-    def _take_back(self, asker: str, message: messages.QuotaReturn) -> None:
-        # Only what this process gave, and once: the keeper before it kept its own
-        # count, and room for what nobody gave would let the limit be passed. A bucket
-        # that was given up with the role takes back what no one spends any more.
-        given = self._returnable.pop((asker, message.number), None)
+        given = _Grant(bucket, query.units, now)
+        self._returnable[(instance, query.number)] = given
+
+    def _accept_return(self, instance: str, message: messages.QuotaReturn) -> None:
+        # Accept only grants of this process, and each once: the previous keeper had its
+        # own bucket, and crediting units that this one never granted would let the team
+        # exceed its limit. A grant made before the role was lost is returned to the
+        # dropped bucket, which no request spends from.
+        given = self._returnable.pop((instance, message.number), None)
         if given is not None:
             given.bucket.put_back(given.units)
 
@@ -315,20 +324,20 @@
             return None
         return snapshot.routes.quotas.get(team)
 
-    def _query(self, link: peers.Link, query: messages.QuotaQuery) -> None:
-        link.send(self._give(link.instance, query))
+    def _on_query(self, link: peers.Link, query: messages.QuotaQuery) -> None:
+        link.send(self._grant(link.instance, query))
 
-    def _returned(self, link: shards.Replier, message: messages.QuotaReturn) -> None:
-        self._take_back(link.instance, message)
+    def _on_return(self, link: shards.Replier, message: messages.QuotaReturn) -> None:
+        self._accept_return(link.instance, message)
 
-    def _answer(self, link: shards.Replier, answer: messages.QuotaAnswer) -> None:
-        question = self._questions.get(answer.number)
-        if question is not None and not question.answer.done():
-            question.answer.set_result(answer)
+    def _on_answer(self, link: shards.Replier, answer: messages.QuotaAnswer) -> None:
+        pending = self._pending_queries.get(answer.number)
+        if pending is not None and not pending.answer.done():
+            pending.answer.set_result(answer)
 
 
 def units_of(quota: routing.Quota, facts: Amounts) -> int:
-    """Return what a request counts under a limit."""
+    """Return the units that a request takes from a limit."""
     if not quota.counts_tokens:
         return 1
     if not facts.counts_tokens:
@@ -340,19 +349,19 @@
     wait_ms = min(own_ms, given_ms) if given_ms else own_ms
     return exceptions.LimitReached(
         f"the limit of team {team} is reached",
-        retry_after_ms=int(min(max(wait_ms, LEAST_RETRY_MS), MOST_RETRY_MS)),
+        retry_after_ms=int(min(max(wait_ms, MIN_RETRY_MS), MAX_RETRY_MS)),
     )
 
 
-def _limit(team: str) -> str:
-    """Return the key by which a team's limit finds its keeper."""
+def _limit_key(team: str) -> str:
+    """Return the key that assigns a team's limit to a keeper."""
     return f"quota {team}"
 
 
-def _bucket(
-    known: dict[str, buckets.Bucket], team: str, empty_at: float
+def _bucket_of(
+    existing: dict[str, buckets.Bucket], team: str, empty_at: float
 ) -> buckets.Bucket:
-    found = known.get(team)
+    found = existing.get(team)
     if found is None:
-        found = known[team] = buckets.Bucket(empty_at)
+        found = existing[team] = buckets.Bucket(empty_at)
     return found
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -89,7 +89,7 @@
     """Spend all that instances may in a window of eight seconds."""
     spent = 0
     # Nobody answers those without the role; real waits for that would take minutes.
-    with mock.patch.object(quotas, "ASK_SECONDS", 0.0):
+    with mock.patch.object(quotas, "QUERY_TIMEOUT_SECONDS", 0.0):
         for _ in range(160):
             for one in fleet:
                 spent += await _spend(one, tokens, 1000)
@@ -206,13 +206,13 @@
         members.move("cq-1")
         query = messages.QuotaQuery(1, "blue", 20)
         asking = fakes.Owner("cq-3")
-        found._query(asking, query)
+        found._on_query(asking, query)
         # The keeper's part of the rate, from nothing: 0.35 of the bound is the depth.
         rate = 0.65 * 0.9 * BOUND / 9.0
         wait_ms = math.ceil(1000.0 * 20 / (rate * 0.7))
         assert asking.sent == [messages.QuotaAnswer(1, 0, wait_ms)]
         time.now += 9.5
-        found._query(asking, query)
+        found._on_query(asking, query)
         assert asking.sent[-1] == messages.QuotaAnswer(1, 20)
 
     asyncio.run(run())
@@ -227,7 +227,7 @@
         assert await _spend(found, 20, 1000) > 0
         with pytest.raises(exceptions.LimitReached):
             await found.take(TEAM, Facts(20))
-        assert not found._questions
+        assert not found._pending_queries
 
     asyncio.run(run())
 
@@ -249,10 +249,10 @@
         asked = asyncio.create_task(found.take(TEAM, Facts(20)))
         await asyncio.sleep(0.0)
         keeper = fakes.Owner("cq-2")
-        found._up(keeper)
+        found._on_link_up(keeper)
         query = keeper.sent[0]
         assert (query.team, query.units) == ("blue", 20)
-        found._answer(keeper, messages.QuotaAnswer(query.number, 20))
+        found._on_answer(keeper, messages.QuotaAnswer(query.number, 20))
         await asked
 
     asyncio.run(run())
@@ -334,19 +334,19 @@
         found = _quotas(Members("cq-1", []))
         asking = fakes.Owner("cq-3")
         for number in range(1, 1000):
-            found._query(asking, messages.QuotaQuery(number, "blue", 20))
+            found._on_query(asking, messages.QuotaQuery(number, "blue", 20))
             if not asking.sent[-1].units:
                 break
         last = asking.sent[-2].number
-        found._returned(fakes.Owner("cq-4"), messages.QuotaReturn(last))
-        found._returned(asking, messages.QuotaReturn(5000))
-        found._query(asking, messages.QuotaQuery(1001, "blue", 20))
+        found._on_return(fakes.Owner("cq-4"), messages.QuotaReturn(last))
+        found._on_return(asking, messages.QuotaReturn(5000))
+        found._on_query(asking, messages.QuotaQuery(1001, "blue", 20))
         assert not asking.sent[-1].units
         for _ in range(2):
-            found._returned(asking, messages.QuotaReturn(last))
-        found._query(asking, messages.QuotaQuery(1002, "blue", 20))
+            found._on_return(asking, messages.QuotaReturn(last))
+        found._on_query(asking, messages.QuotaQuery(1002, "blue", 20))
         assert asking.sent[-1].units == 20
-        found._query(asking, messages.QuotaQuery(1003, "blue", 20))
+        found._on_query(asking, messages.QuotaQuery(1003, "blue", 20))
         assert not asking.sent[-1].units
 
     asyncio.run(run())
@@ -367,7 +367,7 @@
         asked = asyncio.create_task(found.take(TEAM, Facts(20)))
         await asyncio.sleep(0.0)
         number = keeper.sent[0].number
-        found._answer(keeper, messages.QuotaAnswer(number, 20))
+        found._on_answer(keeper, messages.QuotaAnswer(number, 20))
         taken = await asked
         found.give_back(taken)
         assert keeper.sent[-1] == messages.QuotaReturn(number)
--- a/tests/test_quota_schedules.py
+++ b/tests/test_quota_schedules.py
@@ -43,11 +43,11 @@
         other = fleet.quotas[self.instance]
         back = Link(fleet, self.instance, self._source)
         if isinstance(message, messages.QuotaQuery):
-            other._query(back, message)
+            other._on_query(back, message)
         elif isinstance(message, messages.QuotaReturn):
-            other._returned(back, message)
+            other._on_return(back, message)
         else:
-            other._answer(back, message)
+            other._on_answer(back, message)
         return True
 
 
@@ -197,7 +197,7 @@
         return fleet.spent
 
     monkeypatch.setattr(quotas.asyncio, "sleep", sleep)
-    monkeypatch.setattr(quotas, "ASK_SECONDS", 0.0)
+    monkeypatch.setattr(quotas, "QUERY_TIMEOUT_SECONDS", 0.0)
     with fakes.Time().used() as time:
         spent = asyncio.run(run(time))
     monkeypatch.undo()
@@ -265,20 +265,20 @@
 
 def _keeps_what_it_gave(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let whoever becomes the keeper trust that nobody was it before."""
-    monkeypatch.setattr(quotas.Quotas, "_moved", lambda self: None)
+    monkeypatch.setattr(quotas.Quotas, "_on_members_changed", lambda self: None)
 
 
 def _takes_back_what_it_never_gave(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let whoever keeps a limit now take back what the keeper before it gave."""
-    take_back = quotas.Quotas._take_back
+    take_back = quotas.Quotas._accept_return
 
     def trusting(self, asker, message) -> None:
         if (asker, message.number) in self._returnable:
             take_back(self, asker, message)
             return
-        quotas._bucket(self._given, "blue", self._given_from).put_back(90)
+        quotas._bucket_of(self._granted, "blue", self._granted_from).put_back(90)
 
-    monkeypatch.setattr(quotas.Quotas, "_take_back", trusting)
+    monkeypatch.setattr(quotas.Quotas, "_accept_return", trusting)
 
     def give_back(self, taken) -> None:
         if taken.own is not None:
@@ -288,7 +288,7 @@
         message = messages.QuotaReturn(taken.number)
         for _ in range(2):
             if keeper == self._settings.instance:
-                self._take_back(keeper, message)
+                self._accept_return(keeper, message)
             else:
                 self._membership.link(keeper).send(message)
 
