--- a/packages/daemon/cassiaquay_daemon/owners/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/owners/__init__.py
@@ -1,5 +1,5 @@
-"""One request's life on the own interface: accepted, gated, dispatched, answered.
+"""Owners, which accept requests, check limits, dispatch them and hold their answers.
 
-The interface room hands requests in and reads streams out. It must not know HTTP
-towards callers, nor how a keeper decides.
+The ``interface`` package submits requests and reads the streams of their answers. This
+package must not depend on the HTTP interface for callers or on how keepers decide.
 """
--- a/packages/daemon/cassiaquay_daemon/owners/dependencies.py
+++ b/packages/daemon/cassiaquay_daemon/owners/dependencies.py
@@ -1,8 +1,8 @@
-"""Services that depend on others: refused early while those cannot serve.
+"""Early refusal of requests to services whose dependencies are down.
 
-A request of a service whose dependency is down would take an engine's time and then
-fail at its nested call. Each owner asks the keepers of the dependencies that its own
-requests need, now and then, and only while there are such requests.
+A request to a service whose dependency is down would use an engine's time and then
+fail at its nested call. Each owner polls the keepers of the dependencies that its own
+requests need, and only while there are such requests.
 """
 
 import asyncio
@@ -20,22 +20,22 @@
 from ..links import peers
 from . import requests
 
-PERIOD_SECONDS = 0.5
-# Without news for so long nothing is known, and requests go ahead.
-FRESH_SECONDS = 2.0
-# Shards that no request needed for so long are not asked about any more.
+POLL_SECONDS = 0.5
+# An older report is ignored, and requests are let through.
+REPORT_LIFETIME_SECONDS = 2.0
+# Shards that no request has needed for this long are no longer polled.
 IDLE_SECONDS = 5.0
 
 
-class Heard(typing.NamedTuple):
-    """What a keeper said, and when."""
+class HealthReport(typing.NamedTuple):
+    """A keeper's report on a shard, and when it was received."""
 
     health: messages.Health
     at: float
 
 
 class Dependencies:
-    """What this instance knows of the services that others depend on.
+    """Polls and caches the health of services that other services depend on.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
     links : Peers
         Connections to keepers.
     membership : Membership
-        Links to members.
+        Links to live instances.
     local : Keeper
         This instance's own keeper role.
     """
@@ -59,81 +59,81 @@
         self._settings = settings
         self._membership = membership
         self._keeper = local
-        self._heard: dict[str, Heard] = {}
-        self._needed: dict[str, float] = {}
+        self._reports: dict[str, HealthReport] = {}
+        self._last_needed: dict[str, float] = {}
         links.on(messages.Health, self.answer)
 
     def check(self, service: str, rank: int, snapshot: snapshots.Snapshot) -> None:
-        """Raise DependencyDown when a dependency refuses requests of this rank."""
+        """Raise DependencyDown if a dependency refuses requests of this rank."""
         now = clock.now()
-        for name in closure(service, snapshot):
+        for name in transitive_dependencies(service, snapshot):
             pool = snapshot.fleet.services[name].pool
             for number in range(snapshot.shard_count(pool)):
-                self._check(f"{pool}#{number}", name, rank, now)
+                self._check_shard(f"{pool}#{number}", name, rank, now)
 
     def answer(self, replier: shards.Replier, message: messages.Health) -> None:
-        """Take in what a keeper says."""
-        self._heard[message.shard] = Heard(message, clock.now())
+        """Store a keeper's report."""
+        self._reports[message.shard] = HealthReport(message, clock.now())
 
     async def ask(self) -> None:
-        """Ask keepers for ever."""
+        """Poll keepers until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_SECONDS)
-            self._forget(clock.now())
-            for shard in self._needed:
-                self._ask(shard)
-
-    def _check(self, shard: str, service: str, rank: int, now: float) -> None:
-        self._needed[shard] = now
-        heard = self._heard.get(shard)
-        if heard is None or now - heard.at > FRESH_SECONDS:
+            await asyncio.sleep(POLL_SECONDS)
+            self._drop_idle(clock.now())
+            for shard in self._last_needed:
+                self._poll_shard(shard)
+
+    def _check_shard(self, shard: str, service: str, rank: int, now: float) -> None:
+        self._last_needed[shard] = now
+        report = self._reports.get(shard)
+        if report is None or now - report.at > REPORT_LIFETIME_SECONDS:
             return
-        if 0 <= heard.health.floor <= rank:
+        if 0 <= report.health.floor <= rank:
             raise exceptions.DependencyDown(
-                f"{service} cannot serve now", heard.health.retry_after_ms
+                f"{service} cannot serve now", report.health.retry_after_ms
             )
 
-    def _forget(self, now: float) -> None:
-        for shard, at in list(self._needed.items()):
+    def _drop_idle(self, now: float) -> None:
+        for shard, at in list(self._last_needed.items()):
             if now - at > IDLE_SECONDS:
-                del self._needed[shard]
-                self._heard.pop(shard, None)
+                del self._last_needed[shard]
+                self._reports.pop(shard, None)
 
-    def _ask(self, shard: str) -> None:
+    def _poll_shard(self, shard: str) -> None:
         name = self._keeper.keeper_of(shard)
         if name == self._settings.instance:
             health = self._keeper.health(shard)
-            self._heard[shard] = Heard(health, clock.now())
+            self._reports[shard] = HealthReport(health, clock.now())
             return
         link = self._membership.link(name)
         if link is not None:
             link.send(messages.HealthQuery(shard))
 
 
-def closure(service: str, snapshot: snapshots.Snapshot) -> list[str]:
-    """Return the services that one depends on, directly or by others."""
-    found: list[str] = []
-    open_names = list(snapshot.fleet.services[service].depends_on)
-    while open_names:
-        name = open_names.pop()
-        if name in found or name == service:
+def transitive_dependencies(service: str, snapshot: snapshots.Snapshot) -> list[str]:
+    """Return the services that a service depends on, directly or indirectly."""
+    dependencies: list[str] = []
+    unvisited = list(snapshot.fleet.services[service].depends_on)
+    while unvisited:
+        name = unvisited.pop()
+        if name in dependencies or name == service:
             continue
-        found.append(name)
-        open_names += snapshot.fleet.services[name].depends_on
-    return found
+        dependencies.append(name)
+        unvisited += snapshot.fleet.services[name].depends_on
+    return dependencies
 
 
 class Parent(typing.Protocol):
-    """A request on whose behalf others are made."""
+    """A request on whose behalf nested requests are made."""
 
     accepted: requests.Accepted
     deadline: float
 
 
-def inherit(
+def limit_to_parent(
     accepted: requests.Accepted, table: collections.abc.Mapping[str, Parent]
 ) -> requests.Accepted:
-    """Return a nested request, bounded by the one on whose behalf it is made.
+    """Return a nested request, limited to its parent's tier and deadline.
 
     Parameters
     ----------
@@ -147,8 +147,9 @@
     parent = table.get(accepted.body.parent)
     if parent is None:
         return accepted
-    # A nested call that outranked its parent would let background work push in at
-    # its dependencies; one that outlived it would work for nobody.
+    # If a nested call outranked its parent, background work would displace other
+    # requests at its dependencies; if it outlived its parent, its answer would go
+    # unused.
     if accepted.rank < parent.accepted.rank:
         accepted = accepted._replace(
             rank=parent.accepted.rank, tier=parent.accepted.tier
--- a/packages/daemon/cassiaquay_daemon/owners/dispatching.py
+++ b/packages/daemon/cassiaquay_daemon/owners/dispatching.py
@@ -1,4 +1,4 @@
-"""The way of one waiting request to a backend server, and its one dispatch."""
+"""Dispatch of waiting requests to backend servers, at most once for each request."""
 
 import asyncio
 import collections.abc
@@ -14,16 +14,16 @@
 from ..keepers import demands
 from . import entries, table
 
-NOT_SENT_PAUSE = 0.05
-# How long the answer of a request that cannot be stopped is still waited for after its
-# caller was told "unknown", so that its outcome can be asked for later.
-SETTLE_SECONDS = 60.0
-# The connection is broken for good, or the engine has restarted without the stream.
+NOT_SENT_PAUSE_SECONDS = 0.05
+# How long the owner reads on the answer of a request that cannot be stopped after its
+# caller got "unknown", so that the caller can query the outcome later.
+OUTCOME_WAIT_SECONDS = 60.0
+# The connection cannot be resumed, or the engine has restarted and lost the stream.
 SERVER_CRASHED = (exceptions.ConnectionBroken, exceptions.StreamMissing)
 
 
 class Capacity(typing.Protocol):
-    """Where permissions to dispatch come from."""
+    """Source of permissions to dispatch."""
 
     async def obtain(
         self, demand: messages.Demand, deadline: float
@@ -31,7 +31,7 @@
         """Return a permission to dispatch; raise Refusal when the request is shed."""
 
     def give_back(self, demand: messages.Demand) -> None:
-        """Give back a permission that was not used."""
+        """Return a permission that was not used."""
 
     def dispatched(
         self,
@@ -39,20 +39,20 @@
         item: messages.Outstanding,
         answer: answers.Answer | None = None,
     ) -> None:
-        """Note that a permission is in use."""
+        """Record that a permission is in use."""
 
     def release(self, message: messages.Release) -> None:
-        """Note that a dispatched request has ended."""
+        """Report the end of a dispatched request."""
 
 
 class Crashes(typing.Protocol):
-    """What is known of requests that crash servers."""
+    """Quarantine of requests that crash servers."""
 
     def holds(self, content: str) -> bool:
-        """Return whether a request must be refused."""
+        """Return whether requests with this content must be refused."""
 
     def crashed(self, content: str, server: str) -> object:
-        """Report a start of a server that crashed with a request."""
+        """Report that a server, named with its start time, crashed on a request."""
 
     def completed(self, content: str) -> object:
         """Report that a server has completed a request."""
@@ -64,13 +64,13 @@
     Parameters
     ----------
     capacity : Capacity
-        Where permissions come from.
+        Source of permissions.
     http : ClientSession
         Connections to backend servers.
     requests : Table
-        Is told when a request waits no longer.
+        The owner's requests; updated when a request is dispatched or its outcome found.
     is_leaving : callable
-        Tells whether the instance list shows a backend server as leaving.
+        Returns whether the instance list shows a backend server as leaving.
     """
 
     def __init__(
@@ -92,55 +92,55 @@
             self._backends[name] = backends.backends.get(name)(http)
 
     def on_wasted(self, call: collections.abc.Callable[[int], None]) -> None:
-        """Call ``call`` with the prompt tokens that a stopped request had read."""
+        """Call ``call`` with the prompt tokens prefilled for a stopped request."""
         self._on_wasted.append(call)
 
     def can_stop(self, entry: entries.Entry) -> bool:
-        """Tell whether the backend server of a request can stop it."""
+        """Return whether the backend server of a request can stop it."""
         return self._backends[entry.accepted.adapter_name].can_stop
 
     async def serve(self, entry: entries.Entry) -> None:
-        """Dispatch a request once and read its answer; raise Refusal for any other end.
+        """Dispatch a request once and read its answer; raise Refusal on failure.
 
         A request whose caller is not connected waits here: dispatching it could waste
-        a long prefill, and after a pause of this process it is the rule, not the
-        exception, that callers have gone.
+        a long prefill, and after a pause of this process most callers have
+        disconnected.
         """
         avoid: list[str] = []
         while not entry.ended:
-            await entry.read.wait()
+            await entry.has_reader.wait()
             self._check_quarantine(entry)
             demand = _demand(entry, avoid)
             entry.shard = demand.shard
             permission = await self._capacity.obtain(demand, entry.deadline)
             demand = demand._replace(shard=permission.shard)
             entry.shard = demand.shard
-            if self._is_held(entry):
-                # Reports of other instances came while this request waited.
+            if self._is_quarantined(entry):
+                # Crash reports of other instances arrived while this request waited.
                 self._capacity.give_back(demand)
                 continue
             server = entry.accepted.snapshot.server(
                 entry.accepted.pool, permission.server
             )
             if server is None:
-                # The keeper already uses a configuration that this request does not.
+                # The keeper uses a newer configuration than this request.
                 self._capacity.give_back(demand)
                 avoid.append(permission.server)
-                await asyncio.sleep(NOT_SENT_PAUSE)
+                await asyncio.sleep(NOT_SENT_PAUSE_SECONDS)
                 continue
             try:
                 await self._dispatch(entry, demand, permission, server)
                 return
             except exceptions.Overslept:
-                # Nothing is wrong with the server: it may be chosen again.
+                # The server has not failed: it may be chosen again.
                 self._capacity.give_back(demand)
-                await asyncio.sleep(NOT_SENT_PAUSE)
+                await asyncio.sleep(NOT_SENT_PAUSE_SECONDS)
             except exceptions.NotSent as error:
                 logs.detail("not_sent", server=server.name, cause=str(error))
                 self._capacity.give_back(demand)
                 if entry.readers:
                     avoid.append(server.name)
-                await asyncio.sleep(NOT_SENT_PAUSE)
+                await asyncio.sleep(NOT_SENT_PAUSE_SECONDS)
 
     async def _dispatch(
         self,
@@ -153,8 +153,8 @@
         attempt = _Attempt(entry, demand, server, clock.now())
 
         def before_sending() -> None:
-            self._check(entry, permission, server)
-            self._mark(attempt)
+            self._check_before_sending(entry, permission, server)
+            self._mark_dispatched(attempt)
 
         running = asyncio.create_task(
             backend.run(server, entry.accepted.call, entry.answer, before_sending)
@@ -163,52 +163,52 @@
             figures = await asyncio.shield(running)
         except asyncio.CancelledError:
             if entry.state is entries.State.DISPATCHED and not backend.can_stop:
-                # Cutting the connection saves no work and loses the outcome.
-                self._in_background(self._settle(attempt, running))
+                # Closing the connection would save no work and lose the outcome.
+                self._start_background(self._wait_for_outcome(attempt, running))
                 raise
             running.cancel()
             await asyncio.gather(running, return_exceptions=True)
-            self._failed(attempt, backend)
+            self._record_failure(attempt, backend)
             raise
         except exceptions.NotSent:
             raise
         except exceptions.BackendError as error:
-            self._failed(attempt, backend)
+            self._record_failure(attempt, backend)
             if isinstance(error, SERVER_CRASHED):
-                self._note_crash(attempt)
+                self._report_crash(attempt)
             raise _refusal(error) from error
         except Exception:
-            self._failed(attempt, backend)
+            self._record_failure(attempt, backend)
             raise
         entry.figures = figures
         self._release(attempt, "completed", figures)
         if self.crashes is not None:
             self.crashes.completed(entry.content)
 
-    def _is_held(self, entry: entries.Entry) -> bool:
+    def _is_quarantined(self, entry: entries.Entry) -> bool:
         return self.crashes is not None and self.crashes.holds(entry.content)
 
     def _check_quarantine(self, entry: entries.Entry) -> None:
-        if self._is_held(entry):
+        if self._is_quarantined(entry):
             raise exceptions.Quarantined(retry_after_ms=quarantine.RETRY_MS)
 
-    def _note_crash(self, attempt: "_Attempt") -> None:
+    def _report_crash(self, attempt: "_Attempt") -> None:
         if self.crashes is None:
             return
         entry, demand, server, _ = attempt
-        # The fleet text does not say when a server started: each attempt that it breaks
-        # off for good counts as a crash.
+        # If the fleet text does not say when a server started, each attempt that fails
+        # without a way to resume it counts as a crash.
         start = server.started_ms or demand.id
         self.crashes.crashed(entry.content, f"{server.name}/{start}")
 
-    def _check(
+    def _check_before_sending(
         self,
         entry: entries.Entry,
         permission: demands.Permission,
         server: fleet.Server,
     ) -> None:
-        # A process that was paused wakes up here with a permit that is long over, or
-        # with a caller that has gone or was told "not run": it must not send.
+        # After a pause of this process, the permit may have expired, and the caller may
+        # have disconnected or got the outcome "not run": the request must not be sent.
         if entry.ended or entry.state is not entries.State.WAITING:
             raise exceptions.NotSent("ended meanwhile")
         if self.pauses is not None and not self.pauses.current:
@@ -217,13 +217,13 @@
             raise exceptions.NotSent("no caller is connected")
         if clock.now() >= min(permission.expires_at, entry.deadline):
             raise exceptions.NotSent("the permit has expired")
-        # The keeper may have granted just before the list showed the server leaving.
+        # The keeper may have granted just before the list showed the server as leaving.
         if self._is_leaving(server.name):
             raise exceptions.NotSent("the server is leaving")
 
-    def _mark(self, attempt: "_Attempt") -> None:
-        # From here on the request may run: it is never unmarked, whatever happens to
-        # the connection, so no second server ever gets it.
+    def _mark_dispatched(self, attempt: "_Attempt") -> None:
+        # From here on the request may run. The mark is never removed, even when the
+        # connection fails, so that the request is not sent to a second server.
         entry, demand, server, _ = attempt
         entry.state = entries.State.DISPATCHED
         entry.server = server.name
@@ -249,13 +249,13 @@
             entry.answer,
         )
 
-    def _failed(self, attempt: "_Attempt", backend: backends.Backend) -> None:
+    def _record_failure(self, attempt: "_Attempt", backend: backends.Backend) -> None:
         entry = attempt.entry
         if entry.state is entries.State.WAITING:
             return
         figures = backends.Figures(entry.accepted.prompt_tokens, 0, 0)
         self._release(attempt, "unknown", figures)
-        self._in_background(self._stop(backend, attempt))
+        self._start_background(self._stop(backend, attempt))
 
     def _release(
         self, attempt: "_Attempt", outcome: str, figures: backends.Figures
@@ -277,13 +277,13 @@
             )
         )
 
-    async def _settle(
+    async def _wait_for_outcome(
         self, attempt: "_Attempt", running: "asyncio.Task[backends.Figures]"
     ) -> None:
         entry = attempt.entry
         outcome, code = "", ""
         try:
-            async with asyncio.timeout(SETTLE_SECONDS):
+            async with asyncio.timeout(OUTCOME_WAIT_SECONDS):
                 figures = await running
             outcome, code = "completed", "completed"
         except exceptions.BackendError as error:
@@ -292,7 +292,7 @@
         except TimeoutError:
             pass
         if outcome in ("completed", "failed"):
-            self._table.settle(entry, outcome, code)
+            self._table.resolve_outcome(entry, outcome, code)
             logs.event("settled", id=entry.accepted.id.text, outcome=outcome, code=code)
         if outcome != "completed":
             figures = backends.Figures(0, 0, 0)
@@ -313,14 +313,16 @@
         for call in self._on_wasted:
             call(waste.prefilled_tokens)
 
-    def _in_background(self, work: collections.abc.Coroutine[None, None, None]) -> None:
+    def _start_background(
+        self, work: collections.abc.Coroutine[None, None, None]
+    ) -> None:
         task = asyncio.create_task(work)
         self.background.add(task)
         task.add_done_callback(self.background.discard)
 
 
 class _Attempt(typing.NamedTuple):
-    """One permitted try to dispatch a request."""
+    """One permitted attempt to dispatch a request."""
 
     entry: entries.Entry
     demand: messages.Demand
--- a/packages/daemon/cassiaquay_daemon/owners/entries.py
+++ b/packages/daemon/cassiaquay_daemon/owners/entries.py
@@ -1,4 +1,4 @@
-"""One request in the owner's table."""
+"""Entries of the owner's table: one request each, with its state and answer."""
 
 import asyncio
 import enum
@@ -11,7 +11,7 @@
 
 
 class State(enum.Enum):
-    """Where a request is."""
+    """Stage of a request's lifecycle."""
 
     WAITING = "waiting"
     DISPATCHED = "dispatched"
@@ -20,14 +20,14 @@
 
 
 class RequestStatus(typing.NamedTuple):
-    """What a caller is told of an id without its answer.
+    """Reply to a caller that queries an id, without the answer itself.
 
     Attributes
     ----------
     outcome, code : str
-        Empty while the request is under way.
+        Empty until the request has ended.
     state : str
-        A state, ``unseen`` or ``unknown``.
+        Value of a State, ``unseen`` or ``unknown``.
     """
 
     outcome: str
@@ -43,7 +43,7 @@
     accepted : Accepted
         The checked request.
     ledger : Ledger, optional
-        Counts the bytes that it holds.
+        Counts the bytes that the entry holds.
     """
 
     def __init__(
@@ -65,8 +65,8 @@
         self.shard = ""
         self.figures = backends.Figures(accepted.prompt_tokens, 0, 0)
         self.readers = 0
-        self.read = asyncio.Event()
-        self.unread_since = clock.now()
+        self.has_reader = asyncio.Event()
+        self.no_reader_since = clock.now()
         self.delivered = False
         self.acknowledged = False
         self.stop_reason: exceptions.Refusal | None = None
@@ -81,8 +81,8 @@
         return self.answer.final is not None
 
     @property
-    def told(self) -> RequestStatus:
-        """What a caller is told that asks for the outcome."""
+    def status(self) -> RequestStatus:
+        """Status that a caller gets when it queries the outcome."""
         final = self.answer.final
         if final is None:
             return RequestStatus("", "", self.state.value)
@@ -91,18 +91,18 @@
     def attach(self) -> None:
         """Count a reader of the answer."""
         self.readers += 1
-        self.read.set()
+        self.has_reader.set()
 
     def detach(self, delivered: bool) -> None:
-        """Count a reader as gone; ``delivered`` when it was sent the final event."""
+        """Remove a reader; ``delivered`` if it was sent the final event."""
         self.readers -= 1
         self.delivered = self.delivered or delivered
         if not self.readers:
-            self.read.clear()
-            self.unread_since = clock.now()
+            self.has_reader.clear()
+            self.no_reader_since = clock.now()
 
     def drop_body(self) -> None:
-        """Let go of the request's own bytes; nothing needs them after its end."""
+        """Free the request's body, which is not needed after its end."""
         self._ledger.add(-self._body_bytes)
         self._body_bytes = 0
         self.accepted = requests.without_body(self.accepted)
--- a/packages/daemon/cassiaquay_daemon/owners/gates.py
+++ b/packages/daemon/cassiaquay_daemon/owners/gates.py
@@ -1,4 +1,4 @@
-"""What a request must pass before it asks for capacity: dependencies, then limits."""
+"""Gates, which a request passes before it demands capacity: dependencies, limits."""
 
 import collections.abc
 import contextlib
@@ -9,7 +9,7 @@
 
 
 class Gate(typing.Protocol):
-    """What stands before the request for capacity."""
+    """Checks a request before it demands capacity."""
 
     def hold(
         self, accepted: requests.Accepted
@@ -18,7 +18,7 @@
 
 
 class Open:
-    """Lets everything through."""
+    """Lets every request through."""
 
     @contextlib.asynccontextmanager
     async def hold(
@@ -32,12 +32,12 @@
 
 
 class CheckedGate:
-    """Dependencies and limits together.
+    """Checks dependencies, then limits.
 
     Parameters
     ----------
     depending : Dependencies
-        Health of the services that others depend on.
+        Health of the services that other services depend on.
     limited : Limits
         Limits of teams and services.
     """
@@ -51,7 +51,7 @@
         self, accepted: requests.Accepted
     ) -> collections.abc.AsyncIterator[None]:
         """Let a request through while it runs; raise a Refusal otherwise."""
-        # Dependencies first: what is refused for them must not use up a permit.
+        # Dependencies first: a request refused for them must not use up a permit.
         self._dependencies.check(accepted.service, accepted.rank, accepted.snapshot)
         async with self._limits.hold(accepted.team, accepted.service, accepted.rank):
             yield
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -1,8 +1,9 @@
-"""The requests that this instance owns: who may run, who is told what.
+"""The owner role: accepts, dispatches, answers and cancels the requests of its ids.
 
-The right to dispatch a request belongs to the incarnation named in its id. Nobody
-else may ever dispatch it, even when this one is dead; so at most once needs no
-agreement with anybody. docs/design/ownership.md gives the reasons of each rule.
+Only the incarnation (one run of an instance's process) that is named in a request's id
+may dispatch the request. No other instance may do so, even after that incarnation has
+failed; so dispatch at most once needs no agreement between instances.
+docs/design/ownership.md gives the reason for each rule.
 """
 
 import asyncio
@@ -17,13 +18,13 @@
 from . import dependencies, dispatching, entries, gates, requests, table, tokens
 
 SWEEP_SECONDS = 0.5
-# Refusals are kept as entries for this long, so that a caller whose connection broke
-# still reads the hint when and where to ask again.
-REFUSED_SECONDS = 5.0
-# How long a leaving instance waits for callers that have not read their answers.
-UNREAD_SECONDS = 5.0
-UNREAD_POLL = 0.05
-CANCEL_SECONDS = 5.0
+# Refused requests stay in the table for this long, so that a caller whose connection
+# failed can still read when and where to retry.
+KEEP_REFUSED_SECONDS = 5.0
+# How long a leaving instance waits for callers to read their answers.
+UNREAD_WAIT_SECONDS = 5.0
+UNREAD_POLL_SECONDS = 0.05
+CANCEL_WAIT_SECONDS = 5.0
 Entry = entries.Entry
 State = entries.State
 UNSEEN = entries.RequestStatus("", "", "unseen")
@@ -37,17 +38,17 @@
     settings : Settings
         Limits and times.
     incarnation : str
-        This life of the process.
+        Random name of this run of the process.
     http : ClientSession
         Connections to backend servers.
     capacity : Capacity
-        The way to keepers.
+        Obtains permissions from keepers.
     is_leaving : callable
-        Tells whether the instance list shows a backend server as leaving.
+        Returns whether the instance list shows a backend server as leaving.
     better_address : callable
         Returns the address of another instance, or an empty string.
     gate : Gate, optional
-        Dependencies and limits; none are looked at without it.
+        Checks dependencies and limits; without it, requests are not checked.
     """
 
     def __init__(
@@ -61,43 +62,45 @@
         gate: gates.Gate = gates.OPEN,
     ):
         self.leaving = False
-        self.held = table.Table(settings.owner)
+        self.request_table = table.Table(settings.owner)
         self._settings = settings
         self._incarnation = incarnation
-        self._started = clock.now()
+        self._started_at = clock.now()
         self._better_address = better_address
         self._gate = gate
         self._on_ended: list[collections.abc.Callable[[entries.Entry], None]] = []
-        self._dispatcher = dispatching.Dispatcher(capacity, http, self.held, is_leaving)
+        self._dispatcher = dispatching.Dispatcher(
+            capacity, http, self.request_table, is_leaving
+        )
 
     @property
     def table(self) -> dict[str, entries.Entry]:
-        """The entries by id."""
-        return self.held.entries
+        """Entries by request id."""
+        return self.request_table.entries
 
     @property
     def open_count(self) -> int:
-        """Requests that have not ended."""
-        return self.held.open_count
+        """Number of requests that have not ended."""
+        return self.request_table.open_count
 
     def use_pauses(self, pauses: pause.Pauses) -> None:
-        """Send nothing while this process does not know what is true now."""
+        """Dispatch nothing after a pause until the process's leases are renewed."""
         self._dispatcher.pauses = pauses
 
     def use_crash_reports(self, crashes: dispatching.Crashes) -> None:
-        """Refuse requests that crash servers, and report crashes."""
+        """Refuse quarantined requests, and report requests that crash servers."""
         self._dispatcher.crashes = crashes
 
     def on_ended(self, call: collections.abc.Callable[[entries.Entry], None]) -> None:
-        """Call ``call`` with each entry whose outcome has become final."""
+        """Call ``call`` with each entry when its outcome becomes final."""
         self._on_ended.append(call)
 
     def on_wasted(self, call: collections.abc.Callable[[int], None]) -> None:
-        """Call ``call`` with the prompt tokens that a stopped request had read."""
+        """Call ``call`` with the prompt tokens prefilled for a stopped request."""
         self._dispatcher.on_wasted(call)
 
     def mint(self) -> str:
-        """Return a fresh token for ids that this incarnation will own."""
+        """Return a new token for request ids that this incarnation owns."""
         settings = self._settings
         expiry = self._uptime() + settings.owner.token_seconds
         return tokens.mint(
@@ -105,15 +108,15 @@
         )
 
     def owns(self, request_id: tokens.RequestId) -> bool:
-        """Tell whether an id names this incarnation."""
+        """Return whether an id names this incarnation."""
         return (
             request_id.instance == self._settings.instance
             and request_id.incarnation == self._incarnation
         )
 
     def find(self, request_id: tokens.RequestId, team: str) -> entries.Entry:
-        """Return the entry of a known id; raise Refusal for any other."""
-        entry = self._known(request_id, team)
+        """Return the entry of an id; raise Refusal if there is none."""
+        entry = self._find_entry(request_id, team)
         if entry is None:
             raise exceptions.UnknownId()
         return entry
@@ -125,25 +128,26 @@
         data: bytes,
         snapshot: snapshots.Snapshot,
     ) -> entries.Entry:
-        """Return the entry of an id, made from the body ``data`` when it is new."""
-        known = self._known(request_id, team)
-        if known is not None:
-            _check_same(known, data)
-            return known
+        """Return the entry of an id; create it from the body ``data`` if it is new."""
+        existing = self._find_entry(request_id, team)
+        if existing is not None:
+            _check_same_body(existing, data)
+            return existing
         try:
             accepted = requests.accept(request_id, team, data, snapshot)
-            accepted = dependencies.inherit(accepted, self.table)
+            accepted = dependencies.limit_to_parent(accepted, self.table)
             if self.leaving:
                 raise exceptions.Leaving(address=self._better_address())
-            self.held.make_room(accepted.rank, self._give_up)
+            self.request_table.evict_for(accepted.rank, self._refuse_waiting)
         except exceptions.Refusal as refusal:
-            # "Not run" holds for ever only when a late copy finds the id closed: what
-            # was wrong today (a full table, an unknown service) may be right then.
-            self.held.refuse(request_id, team, refusal.outcome, refusal.code)
+            # Close the id, so that a late copy of the request cannot run after the
+            # outcome "not run": the reason for the refusal (a full table, an unknown
+            # service) may no longer apply when the copy arrives.
+            self.request_table.close_id(request_id, team, refusal.outcome, refusal.code)
             self._log_end(request_id.text, refusal)
             raise
-        entry = entries.Entry(accepted, self.held.ledger)
-        self.held.add(entry)
+        entry = entries.Entry(accepted, self.request_table.ledger)
+        self.request_table.add(entry)
         entry.task = asyncio.create_task(self._run(entry))
         return entry
 
@@ -152,14 +156,14 @@
         entry.attach()
 
     def detach(self, entry: entries.Entry, delivered: bool) -> None:
-        """Count a reader as gone."""
+        """Remove a reader of an entry's answer."""
         entry.detach(delivered)
         if entry.acknowledged and not entry.readers:
             self._close(entry)
 
     def acknowledge(self, request_id: tokens.RequestId, team: str) -> None:
-        """Let go of an answer that the caller has whole; its id stays known."""
-        if self._closed(request_id, team):
+        """Drop an answer that the caller has received in full; keep its outcome."""
+        if self._closed_status(request_id, team):
             return
         entry = self.find(request_id, team)
         if not entry.ended:
@@ -169,119 +173,130 @@
             self._close(entry)
 
     def outcome(self, request_id: tokens.RequestId, team: str) -> entries.RequestStatus:
-        """Return what became of an id, as far as this owner knows."""
-        closed = self._closed(request_id, team)
+        """Return the status of an id."""
+        closed = self._closed_status(request_id, team)
         if closed is not None:
             return closed
-        entry = self._known(request_id, team)
-        # An id not seen yet may still arrive and run: nothing is said of it.
-        return UNSEEN if entry is None else entry.told
+        entry = self._find_entry(request_id, team)
+        # A request that has not arrived may still arrive and run: it has no outcome.
+        return UNSEEN if entry is None else entry.status
 
     async def cancel(
         self, request_id: tokens.RequestId, team: str
     ) -> entries.RequestStatus:
-        """End a request that its caller has given up, and return what became of it."""
-        closed = self._closed(request_id, team)
+        """Cancel a request for its caller, and return its status."""
+        closed = self._closed_status(request_id, team)
         if closed is not None:
             return closed
-        entry = self._known(request_id, team)
+        entry = self._find_entry(request_id, team)
         if entry is None:
-            # The cancellation may have overtaken its request: the id is closed, so
-            # that the request, when it arrives, does not run after "not run".
+            # The cancellation may arrive before its request: close the id, so that the
+            # request does not run after the caller got "not run".
             refusal = exceptions.Cancelled()
-            self.held.refuse(request_id, team, refusal.outcome, refusal.code)
+            self.request_table.close_id(request_id, team, refusal.outcome, refusal.code)
             self._log_end(request_id.text, refusal)
             return entries.RequestStatus(refusal.outcome, refusal.code, "refused")
         if entry.ended:
-            return entry.told
+            return entry.status
         if entry.state is entries.State.WAITING:
-            self._give_up(entry, exceptions.Cancelled())
-            return entry.told
+            self._refuse_waiting(entry, exceptions.Cancelled())
+            return entry.status
         if not self._dispatcher.can_stop(entry):
-            return entry.told
+            return entry.status
         await self._stop(entry, exceptions.CancelledRunning())
-        return entry.told
+        return entry.status
 
     async def sweep(self) -> None:
-        """Drop abandoned requests and old entries for ever."""
+        """Drop abandoned requests and expired entries until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             self.sweep_once()
 
     def sweep_once(self) -> None:
-        """Drop abandoned requests and old entries."""
+        """Drop abandoned requests and expired entries once."""
         now = clock.now()
-        for entry in list(self.held.entries.values()):
+        for entry in list(self.request_table.entries.values()):
             if entry.readers:
                 continue
             if entry.ended:
-                self._forget_old(entry, now)
+                self._close_expired(entry, now)
                 continue
-            if now - entry.unread_since >= self._settings.owner.disconnect_grace:
-                self._abandon(entry)
-        self.held.relieve()
-        self.held.closed.expire(self._uptime() - self._settings.owner.answer_seconds)
+            if now - entry.no_reader_since >= self._settings.owner.disconnect_grace:
+                self._stop_abandoned(entry)
+        self.request_table.evict_ended()
+        self.request_table.closed.expire(
+            self._uptime() - self._settings.owner.answer_seconds
+        )
 
     async def leave(self) -> None:
-        """Hand waiting requests back, and return when the others have been read."""
+        """Refuse waiting requests, and return when the other answers have been read."""
         self.leaving = True
-        for entry in self.held.waiting():
-            self._give_up(entry, exceptions.Leaving(address=self._better_address()))
-        while self._running():
-            await asyncio.wait(self._running())
-        end = clock.now() + UNREAD_SECONDS
-        while any(_is_unread(one) for one in self.held.ended()) and clock.now() < end:
-            await asyncio.sleep(UNREAD_POLL)
+        for entry in self.request_table.waiting():
+            self._refuse_waiting(
+                entry, exceptions.Leaving(address=self._better_address())
+            )
+        while self._running_tasks():
+            await asyncio.wait(self._running_tasks())
+        end = clock.now() + UNREAD_WAIT_SECONDS
+        while (
+            any(_is_unread(entry) for entry in self.request_table.ended())
+            and clock.now() < end
+        ):
+            await asyncio.sleep(UNREAD_POLL_SECONDS)
 
     def _uptime(self) -> float:
-        return clock.now() - self._started
+        return clock.now() - self._started_at
 
-    def _running(self) -> list["asyncio.Task[None]"]:
-        held = [entry.task for entry in self.held.entries.values() if entry.task]
-        running = [*held, *self._dispatcher.background]
+    def _running_tasks(self) -> list["asyncio.Task[None]"]:
+        entry_tasks = [
+            entry.task for entry in self.request_table.entries.values() if entry.task
+        ]
+        running = [*entry_tasks, *self._dispatcher.background]
         return [task for task in running if not task.done()]
 
-    def _known(self, request_id: tokens.RequestId, team: str) -> entries.Entry | None:
-        """Return the entry, None for an id that may still begin, or raise Refusal."""
-        entry = self.held.entries.get(request_id.text)
+    def _find_entry(
+        self, request_id: tokens.RequestId, team: str
+    ) -> entries.Entry | None:
+        """Return an id's entry, or None if it may still run; raise Refusal if not."""
+        entry = self.request_table.entries.get(request_id.text)
         if entry is not None:
             if entry.accepted.team != team:
                 raise exceptions.Forbidden("this id belongs to another team")
             return entry
-        closed = self.held.closed.find(request_id)
+        closed = self.request_table.closed.find(request_id)
         if closed is not None:
             if closed.team != team:
                 raise exceptions.Forbidden("this id belongs to another team")
             raise closed.refusal()
-        gone = self.held.closed.may_be_gone(request_id)
-        if gone or self._uptime() > request_id.expiry:
-            # Its entry may have been here and dropped: "not run" might be a lie.
+        is_dropped = self.request_table.closed.may_be_dropped(request_id)
+        if is_dropped or self._uptime() > request_id.expiry:
+            # Its entry may have been dropped after it ran: "not run" could be wrong.
             raise exceptions.TokenExpired()
         return None
 
-    def _closed(
+    def _closed_status(
         self, request_id: tokens.RequestId, team: str
     ) -> entries.RequestStatus | None:
-        if request_id.text in self.held.entries:
+        if request_id.text in self.request_table.entries:
             return None
-        closed = self.held.closed.find(request_id)
+        closed = self.request_table.closed.find(request_id)
         if closed is None or closed.team != team:
             return None
         return entries.RequestStatus(closed.outcome, closed.code, closed.state)
 
-    def _forget_old(self, entry: entries.Entry, now: float) -> None:
-        kept = self._settings.owner.answer_seconds
+    def _close_expired(self, entry: entries.Entry, now: float) -> None:
+        keep_seconds = self._settings.owner.answer_seconds
         if entry.state is entries.State.REFUSED:
-            kept = min(kept, REFUSED_SECONDS)
-        if entry.acknowledged or now - entry.ended_at > kept:
+            keep_seconds = min(keep_seconds, KEEP_REFUSED_SECONDS)
+        if entry.acknowledged or now - entry.ended_at > keep_seconds:
             self._close(entry)
 
     def _close(self, entry: entries.Entry) -> None:
-        self.held.close(entry)
+        self.request_table.close(entry)
 
-    def _abandon(self, entry: entries.Entry) -> None:
+    def _stop_abandoned(self, entry: entries.Entry) -> None:
         if entry.state is entries.State.WAITING:
-            self._give_up(entry, exceptions.CallerGone())
+            self._refuse_waiting(entry, exceptions.CallerGone())
             return
         if entry.accepted.service_settings.on_disconnect == "finish":
             return
@@ -291,7 +306,9 @@
             entry.stop_reason = exceptions.CallerGoneRunning()
             entry.task.cancel()
 
-    def _give_up(self, entry: entries.Entry, refusal: exceptions.Refusal) -> None:
+    def _refuse_waiting(
+        self, entry: entries.Entry, refusal: exceptions.Refusal
+    ) -> None:
         """End a waiting request as not run."""
         self._refuse(entry, refusal)
         if entry.task is not None:
@@ -302,7 +319,7 @@
             entry.stop_reason = reason
         if entry.task is not None:
             entry.task.cancel()
-            await asyncio.wait({entry.task}, timeout=CANCEL_SECONDS)
+            await asyncio.wait({entry.task}, timeout=CANCEL_WAIT_SECONDS)
 
     def _refuse(self, entry: entries.Entry, refusal: exceptions.Refusal) -> None:
         if entry.ended:
@@ -319,11 +336,11 @@
             refusal.retry_after_ms,
             refusal.address,
         )
-        self.held.end(entry)
+        self.request_table.end(entry)
         self._log_end(entry.accepted.id.text, refusal, entry)
-        self._tell_ended(entry)
+        self._notify_ended(entry)
 
-    def _tell_ended(self, entry: entries.Entry) -> None:
+    def _notify_ended(self, entry: entries.Entry) -> None:
         for call in self._on_ended:
             call(entry)
 
@@ -333,7 +350,7 @@
         entry.state = entries.State.FINISHED
         entry.ended_at = clock.now()
         entry.answer.finish("completed", "completed")
-        self.held.end(entry)
+        self.request_table.end(entry)
         accepted = entry.accepted
         logs.event(
             "ended",
@@ -346,7 +363,7 @@
             ms=round(watch.elapsed_ms, 1),
             count=entry.answer.count,
         )
-        self._tell_ended(entry)
+        self._notify_ended(entry)
 
     def _log_end(
         self, text: str, refusal: exceptions.Refusal, entry: entries.Entry | None = None
@@ -382,7 +399,7 @@
             else:
                 self._refuse(entry, exceptions.Cancelled())
         except Exception as error:
-            # Whatever went wrong here, the caller gets an answer that is true.
+            # An internal error must still give the caller a correct outcome.
             logs.trouble(
                 "request_crashed", id=entry.accepted.id.text, cause=repr(error)
             )
@@ -392,8 +409,9 @@
                 self._refuse(entry, exceptions.InternalError())
 
 
-def _check_same(entry: entries.Entry, data: bytes) -> None:
-    # Two requests under one id: the second caller would get the first one's answer.
+def _check_same_body(entry: entries.Entry, data: bytes) -> None:
+    # Without this check, a second request under the same id would get the answer of the
+    # first one.
     try:
         body = requests.read(data)
     except exceptions.BadRequest as error:
--- a/packages/daemon/cassiaquay_daemon/owners/recovery.py
+++ b/packages/daemon/cassiaquay_daemon/owners/recovery.py
@@ -1,7 +1,7 @@
-"""Streams of owners that are gone: read on from the engine that holds them.
+"""Recovery of streams whose owner has failed, from the engine that holds them.
 
-Reading a held stream is no dispatch and costs no prefill, so any instance may do it,
-also while the owner is alive behind a partition.
+Reading a stream that an engine holds is not a dispatch and costs no prefill. So any
+instance may do it, even while the owner is alive on the other side of a partition.
 """
 
 import asyncio
@@ -14,25 +14,25 @@
 from ..adapters import answers, backends
 from ..configured import snapshots
 
-PROBE_SECONDS = 2.0
+FIND_TIMEOUT_SECONDS = 2.0
 KEEP_SECONDS = 60.0
-# Streams kept for callers that come again; an older one is read from its engine anew.
-MAX_KEPT = 1000
-READ_TRIES = 3
-READ_PAUSE = 0.1
+# Streams kept for callers that reconnect; an evicted one is read again from its engine.
+MAX_KEPT_STREAMS = 1000
+READ_ATTEMPTS = 3
+READ_RETRY_SECONDS = 0.1
 
 
-class Recovered:
-    """A stream that is being read for a dead owner."""
+class RecoveredStream:
+    """A stream that is read from an engine on behalf of a failed owner."""
 
     def __init__(self) -> None:
         self.answer = answers.Answer()
         self.refusal: exceptions.Refusal | None = None
-        self.since = clock.now()
+        self.started_at = clock.now()
 
 
 class Recovery:
-    """Finds streams at engines.
+    """Finds and reads streams that engines hold.
 
     Parameters
     ----------
@@ -46,20 +46,20 @@
         self._backends: dict[str, backends.Backend] = {}
         for name in backends.backends.names():
             self._backends[name] = backends.backends.get(name)(http)
-        self._found: dict[str, Recovered] = {}
+        self._found: dict[str, RecoveredStream] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def find(
         self, key: str, snapshot: snapshots.Snapshot, service: str
-    ) -> Recovered:
-        """Return the stream known as ``key``; raise OwnerGone when nobody holds it."""
-        self._forget()
-        known = self._found.get(key)
-        if known is not None and known.refusal is None:
-            return known
+    ) -> RecoveredStream:
+        """Return the stream of ``key``; raise OwnerGone if no server holds it."""
+        self._drop_old()
+        existing = self._found.get(key)
+        if existing is not None and existing.refusal is None:
+            return existing
         probes = []
-        for backend, server in self._places(snapshot, service):
-            recovered = Recovered()
+        for backend, server in self._candidate_servers(snapshot, service):
+            recovered = RecoveredStream()
             task = asyncio.create_task(self._read(backend, server, key, recovered))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -79,13 +79,13 @@
     async def cancel(
         self, key: str, snapshot: snapshots.Snapshot, service: str
     ) -> None:
-        """Stop the stream wherever it is held; its caller has given it up."""
+        """Stop a cancelled request's stream at every server that may hold it."""
         stops = []
-        for backend, server in self._places(snapshot, service):
+        for backend, server in self._candidate_servers(snapshot, service):
             stops.append(self._stop(backend, server, key))
         await asyncio.gather(*stops)
 
-    def _places(
+    def _candidate_servers(
         self, snapshot: snapshots.Snapshot, service: str
     ) -> list[tuple[backends.Backend, fleet.Server]]:
         found = []
@@ -108,10 +108,10 @@
         backend: backends.Backend,
         server: fleet.Server,
         key: str,
-        recovered: Recovered,
+        recovered: RecoveredStream,
     ) -> None:
         answer = recovered.answer
-        for _ in range(READ_TRIES):
+        for _ in range(READ_ATTEMPTS):
             try:
                 await backend.resume(server, key, answer)
                 answer.finish("completed", "completed")
@@ -120,7 +120,7 @@
                 cause = str(error)
                 if not answer.opened:
                     break
-                await asyncio.sleep(READ_PAUSE)
+                await asyncio.sleep(READ_RETRY_SECONDS)
             except exceptions.BackendError as error:
                 cause = str(error)
                 break
@@ -128,19 +128,19 @@
         refusal = recovered.refusal
         answer.finish(refusal.outcome, refusal.code, refusal.message)
 
-    def _forget(self) -> None:
-        horizon = clock.now() - KEEP_SECONDS
+    def _drop_old(self) -> None:
+        oldest_kept = clock.now() - KEEP_SECONDS
         for key in list(self._found):
-            too_many = len(self._found) > MAX_KEPT
-            if self._found[key].since < horizon or too_many:
+            too_many = len(self._found) > MAX_KEPT_STREAMS
+            if self._found[key].started_at < oldest_kept or too_many:
                 del self._found[key]
 
 
-async def _first_found(candidates: list[Recovered]) -> Recovered | None:
-    waits: dict[asyncio.Task[None], Recovered] = {}
+async def _first_found(candidates: list[RecoveredStream]) -> RecoveredStream | None:
+    waits: dict[asyncio.Task[None], RecoveredStream] = {}
     for candidate in candidates:
         waits[asyncio.create_task(candidate.answer.wait_open())] = candidate
-    end = clock.now() + PROBE_SECONDS
+    end = clock.now() + FIND_TIMEOUT_SECONDS
     try:
         while waits:
             done, _ = await asyncio.wait(
--- a/packages/daemon/cassiaquay_daemon/owners/requests.py
+++ b/packages/daemon/cassiaquay_daemon/owners/requests.py
@@ -1,4 +1,4 @@
-"""Requests as callers send them, checked before anything else looks at them."""
+"""Parsing and validation of requests as callers send them."""
 
 import hashlib
 import typing
@@ -18,7 +18,7 @@
 
 
 class Body(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The JSON body of a request; docs/CALLERS.md tells what each key means."""
+    """The JSON body of a request; docs/CALLERS.md describes each key."""
 
     service: str
     tier: str = ""
@@ -35,7 +35,7 @@
 
 
 class Accepted(typing.NamedTuple):
-    """A request that fits the configuration.
+    """A request that is valid under the current configuration.
 
     Attributes
     ----------
@@ -44,19 +44,19 @@
     team, service, tier : str
         Names.
     rank : int
-        Rank of the tier.
+        Rank of the tier; 0 is the most important.
     pool : str
-        Pool that serves it.
+        Pool of backend servers that serves it.
     call : Call
-        What the backend server gets.
+        What the backend server is sent.
     prompt_tokens, output_tokens : int
         Estimates.
     deadline_seconds : float
-        Time from acceptance in which the answer is of use.
+        Time from acceptance within which the answer is useful.
     body : Body
-        As sent.
+        The body as sent.
     snapshot : Snapshot
-        The configuration that it was accepted under, and finishes under.
+        The configuration under which it was accepted and runs.
     """
 
     id: tokens.RequestId
@@ -84,7 +84,7 @@
 
 
 def read(data: bytes) -> Body:
-    """Return the parsed body; raise BadRequest when it is none."""
+    """Return the parsed body; raise BadRequest if it is malformed."""
     try:
         return msgspec.json.decode(data, type=Body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -92,14 +92,14 @@
 
 
 def fingerprint(body: Body) -> bytes:
-    """Return a digest of all that must not change between copies of a request."""
-    # The time left shrinks from copy to copy; it is the only part that may differ.
-    fixed = msgspec.structs.replace(body, deadline_ms=None)
-    return hashlib.blake2b(msgspec.json.encode(fixed), digest_size=16).digest()
+    """Return a digest of the fields that must be equal in all copies of a request."""
+    # The remaining time shrinks from copy to copy; only it may differ.
+    comparable = msgspec.structs.replace(body, deadline_ms=None)
+    return hashlib.blake2b(msgspec.json.encode(comparable), digest_size=16).digest()
 
 
 def without_body(accepted: Accepted) -> Accepted:
-    """Return a request without what only its dispatch needs."""
+    """Return a request without the prompt and payload, which only dispatch needs."""
     body = msgspec.structs.replace(
         accepted.body, prompt="", payload=msgspec.Raw(b"null")
     )
@@ -110,7 +110,7 @@
 def accept(
     request_id: tokens.RequestId, team: str, data: bytes, snapshot: snapshots.Snapshot
 ) -> Accepted:
-    """Return the checked request; raise a Refusal when it cannot be one."""
+    """Validate a request; raise a Refusal if the configuration does not allow it."""
     body = read(data)
     service = snapshot.fleet.services.get(body.service)
     if service is None:
@@ -152,20 +152,20 @@
 
 
 def key_of(request_id: tokens.RequestId, team: str) -> str:
-    """Return the id under which backend servers know a request."""
-    # The team is part of it: an instance that resumes the stream of a dead owner
-    # cannot look up whose it was, and must not hand it to another team that learnt
-    # the id.
+    """Return the key that identifies a request at backend servers."""
+    # The key includes the team: an instance that resumes the stream of a failed owner
+    # has no record of the team, and must not send the stream to another team that has
+    # obtained the id.
     return f"{request_id.text}~{team}"
 
 
-class _Named(msgspec.Struct):
+class _ServiceName(msgspec.Struct):
     service: str = ""
 
 
 def service_of(data: bytes) -> str:
     """Return the service that a body names, or an empty string."""
     try:
-        return msgspec.json.decode(data, type=_Named).service
+        return msgspec.json.decode(data, type=_ServiceName).service
     except msgspec.DecodeError:
         return ""
--- a/packages/daemon/cassiaquay_daemon/owners/streams.py
+++ b/packages/daemon/cassiaquay_daemon/owners/streams.py
@@ -1,4 +1,4 @@
-"""The HTTP response that reads an answer while it is made."""
+"""HTTP responses that stream an answer while it is generated, or report a refusal."""
 
 import asyncio
 import collections.abc
@@ -25,7 +25,7 @@
 
 
 def refusal_body(refusal: exceptions.Refusal) -> RefusalBody:
-    """Return what a caller is told of a refusal."""
+    """Return the JSON body of a refusal."""
     return RefusalBody(
         outcome=refusal.outcome,
         code=refusal.code,
@@ -41,7 +41,7 @@
     Parameters
     ----------
     refusal : Refusal
-        What the caller is told.
+        The refusal to report.
     """
 
     def __init__(self, refusal: exceptions.Refusal):
@@ -50,34 +50,34 @@
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
-        """Send it."""
+        """Send the response."""
         headers = [(b"content-type", JSON)]
         if self._refusal.retry_after_ms:
             seconds = -(-self._refusal.retry_after_ms // 1000)
             headers.append((b"retry-after", str(seconds).encode()))
-        await _start(send, int(self._refusal.status), headers)
+        await _send_start(send, int(self._refusal.status), headers)
         body = msgspec.json.encode(refusal_body(self._refusal))
         await send({"type": "http.response.body", "body": body})
 
 
 class AnswerResponse:
-    """An ASGI response that streams an answer from one event on.
+    """An ASGI response that streams an answer, starting at a given event.
 
-    The status line waits for the first event or the final one, so that it tells the
-    truth. A caller that disconnects is noticed also while nothing is sent.
+    The status line is sent only with the first or final event, when the outcome decides
+    the status. A disconnection of the caller is noticed even while nothing is sent.
 
     Parameters
     ----------
     answer : Answer
-        What is read.
+        The answer to stream.
     after : int
-        Events to skip.
+        Number of events to skip.
     refused : callable
-        Returns the refusal, when the answer ended with one.
+        Returns the refusal, if the answer ended with one.
     attach : callable
-        Called when the reading begins.
+        Called when reading starts.
     detach : callable
-        Called when it ends, with whether the caller was sent the final event.
+        Called when reading ends, with whether the final event was sent to the caller.
     """
 
     def __init__(
@@ -98,18 +98,20 @@
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
-        """Stream until the end or until the caller is gone."""
+        """Stream until the answer ends or the caller disconnects."""
         self._attach()
-        reading = asyncio.create_task(self._stream(scope, receive, send))
-        watching = asyncio.create_task(disconnected(receive))
+        stream_task = asyncio.create_task(self._stream(scope, receive, send))
+        disconnect_task = asyncio.create_task(disconnected(receive))
         try:
-            await asyncio.wait({reading, watching}, return_when=asyncio.FIRST_COMPLETED)
-            if reading.done():
-                reading.result()
+            await asyncio.wait(
+                {stream_task, disconnect_task}, return_when=asyncio.FIRST_COMPLETED
+            )
+            if stream_task.done():
+                stream_task.result()
         finally:
-            reading.cancel()
-            watching.cancel()
-            await asyncio.gather(reading, watching, return_exceptions=True)
+            stream_task.cancel()
+            disconnect_task.cancel()
+            await asyncio.gather(stream_task, disconnect_task, return_exceptions=True)
             self._detach(self._delivered)
 
     async def _stream(
@@ -126,7 +128,7 @@
         if answer.forgotten and after < answer.count:
             await RefusalResponse(exceptions.AnswerForgotten())(scope, receive, send)
             return
-        await _start(send, 200, [(b"content-type", EVENT_STREAM)])
+        await _send_start(send, 200, [(b"content-type", EVENT_STREAM)])
         while True:
             chunk, after = answer.chunk(after)
             ended = answer.final is not None
@@ -141,14 +143,14 @@
             await answer.wait(after)
 
 
-async def _start(
+async def _send_start(
     send: types.Send, status: int, headers: list[tuple[bytes, bytes]]
 ) -> None:
     await send({"type": "http.response.start", "status": status, "headers": headers})
 
 
 async def disconnected(receive: types.Receive) -> None:
-    """Return when the caller has gone; its body must have been read whole."""
+    """Return when the caller disconnects; its body must have been read in full."""
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
--- a/packages/daemon/cassiaquay_daemon/owners/table.py
+++ b/packages/daemon/cassiaquay_daemon/owners/table.py
@@ -1,4 +1,4 @@
-"""The requests of one owner, within bounds that respect tiers."""
+"""The table of one owner's requests, bounded in size; lower tiers are evicted first."""
 
 import collections.abc
 
@@ -12,7 +12,7 @@
 
 
 class Table:
-    """Entries by id: those under way, ended ones that may be read, closed ids.
+    """Requests by id: open entries, ended ones that may still be read, closed ids.
 
     Parameters
     ----------
@@ -30,22 +30,22 @@
 
     @property
     def waiting_count(self) -> int:
-        """Requests that wait for a permit."""
+        """Number of requests that wait for a permit."""
         return sum(len(rank) for rank in self._waiting.values())
 
     @property
     def ended_count(self) -> int:
-        """Requests that have ended and whose answer is kept."""
+        """Number of ended requests whose answer is kept."""
         return sum(len(rank) for rank in self._ended.values())
 
     @property
     def open_count(self) -> int:
-        """Requests that have not ended."""
+        """Number of requests that have not ended."""
         return len(self.entries) - self.ended_count
 
     @property
     def is_full(self) -> bool:
-        """Whether a new request needs room that is not there."""
+        """Whether the table has no capacity for a new request."""
         return (
             self.waiting_count >= self._settings.max_waiting
             or self.open_count >= self._settings.max_entries
@@ -62,18 +62,18 @@
         return [entry for rank in ranks for entry in self._ended[rank].values()]
 
     def add(self, entry: entries.Entry) -> None:
-        """Take a new waiting entry."""
+        """Add a new waiting entry."""
         accepted = entry.accepted
         self.entries[accepted.id.text] = entry
         self._waiting.setdefault(accepted.rank, {})[accepted.id.text] = entry
 
     def dispatched(self, entry: entries.Entry) -> None:
-        """Note that an entry waits no longer."""
+        """Record that an entry no longer waits."""
         accepted = entry.accepted
         self._waiting.get(accepted.rank, {}).pop(accepted.id.text, None)
 
     def end(self, entry: entries.Entry) -> None:
-        """Note that an entry has its outcome."""
+        """Record that an entry's outcome is final."""
         accepted = entry.accepted
         self.dispatched(entry)
         entry.drop_body()
@@ -83,14 +83,14 @@
     def close(self, entry: entries.Entry) -> None:
         """Keep only the id and the outcome of an ended entry."""
         accepted = entry.accepted
-        told = entry.told
+        status = entry.status
         entry.answer.forget()
         self.entries.pop(accepted.id.text, None)
         self._ended.get(accepted.rank, {}).pop(accepted.id.text, None)
-        self.refuse(accepted.id, accepted.team, told.outcome, told.code)
+        self.close_id(accepted.id, accepted.team, status.outcome, status.code)
 
-    def settle(self, entry: entries.Entry, outcome: str, code: str) -> None:
-        """Replace the outcome "unknown" of an ended entry by what it came to."""
+    def resolve_outcome(self, entry: entries.Entry, outcome: str, code: str) -> None:
+        """Replace the outcome "unknown" of an ended entry by its actual outcome."""
         entry.answer.settle(outcome, code)
         entry.refusal = None
         if outcome == "failed":
@@ -98,16 +98,16 @@
         accepted = entry.accepted
         if accepted.id.text not in self.entries:
             entry.answer.forget()
-            self.refuse(accepted.id, accepted.team, outcome, code)
+            self.close_id(accepted.id, accepted.team, outcome, code)
 
-    def refuse(
+    def close_id(
         self, request_id: tokens.RequestId, team: str, outcome: str, code: str
     ) -> None:
-        """Keep the outcome of an id that has no entry."""
+        """Keep the outcome of an id that has no entry, so that it never runs."""
         self.closed.add(request_id, tombstones.Closed(team, outcome, code))
 
-    def relieve(self) -> None:
-        """Close ended entries that nobody reads until the bounds hold."""
+    def evict_ended(self) -> None:
+        """Close ended entries without readers until the table is within its bounds."""
         for entry in self.ended():
             over_count = self.ended_count > self._settings.max_entries
             over_bytes = self.ledger.used > self._settings.max_answer_bytes
@@ -117,23 +117,25 @@
                 continue
             self.close(entry)
 
-    def make_room(
+    def evict_for(
         self,
         rank: int,
-        give_up: collections.abc.Callable[[entries.Entry, exceptions.Refusal], None],
+        refuse_waiting: collections.abc.Callable[
+            [entries.Entry, exceptions.Refusal], None
+        ],
     ) -> None:
-        """Make room for a request; raise TableFull when its tier is the lowest.
+        """Free capacity for a request; raise TableFull if no lower tier waits.
 
-        The failure: a limit that refuses whoever comes last sheds an urgent request
-        while background work keeps its place. Only less important waiting work is
-        given up here, the newest of the lowest tier first.
+        If a full table refused every new request, urgent requests would be shed while
+        background work stays queued. Instead, waiting requests of lower tiers are
+        refused, the newest of the lowest tier first.
         """
         if not self.is_full:
             return
-        self.relieve()
+        self.evict_ended()
         while self.is_full:
             lowest = max((r for r, held in self._waiting.items() if held), default=rank)
             if lowest <= rank:
                 raise exceptions.TableFull(retry_after_ms=RETRY_AFTER_MS)
             entry = next(reversed(self._waiting[lowest].values()))
-            give_up(entry, exceptions.TableFull(retry_after_ms=RETRY_AFTER_MS))
+            refuse_waiting(entry, exceptions.TableFull(retry_after_ms=RETRY_AFTER_MS))
--- a/packages/daemon/cassiaquay_daemon/owners/tokens.py
+++ b/packages/daemon/cassiaquay_daemon/owners/tokens.py
@@ -1,8 +1,9 @@
 """Address tokens and request ids.
 
-A token names one incarnation of one instance and an expiry on that incarnation's
-own clock: only the owner judges it, so no clocks are compared. A request id is
-``token~unique``. The MAC keeps callers from forming ids for a later expiry.
+A token names one incarnation of an instance, which is one run of its process, and an
+expiry on that incarnation's own clock. Only the owner checks the expiry, so clocks of
+different instances are never compared. A request id is ``token~unique``. The MAC
+prevents callers from forging ids with a later expiry.
 """
 
 import hashlib
@@ -28,9 +29,9 @@
     text : str
         The id as the caller wrote it.
     instance : str
-        Its owner.
+        Name of the owner.
     incarnation : str
-        The life of the owner's process.
+        Random name of one run of the owner's process.
     expiry : float
         Seconds on the owner's clock since its start.
     """
@@ -42,14 +43,14 @@
 
 
 def new_incarnation() -> str:
-    """Return a random name for this life of the process."""
+    """Return a random name for this run of the process."""
     return secrets.token_hex(6)
 
 
 def mint(key: str, instance: str, incarnation: str, expiry: float) -> str:
     """Return a token that expires at ``expiry`` seconds of the owner's uptime."""
-    stem = f"{instance}.{incarnation}.{int(expiry * 1000)}"
-    return f"{stem}.{_mac(key, stem)}"
+    signed_part = f"{instance}.{incarnation}.{int(expiry * 1000)}"
+    return f"{signed_part}.{_mac(key, signed_part)}"
 
 
 def parse(keys: list[str], text: str) -> RequestId:
@@ -58,15 +59,15 @@
     Raises
     ------
     BadId
-        When it is malformed or its MAC was made by none of ``keys``.
+        If it is malformed or its MAC matches none of ``keys``.
     """
     token, _, unique = text.partition("~")
     match = TOKEN.match(token)
     if match is None or UNIQUE.match(unique) is None:
         raise exceptions.BadId()
-    stem = token.rpartition(".")[0]
+    signed_part = token.rpartition(".")[0]
     for key in keys:
-        if not hmac.compare_digest(_mac(key, stem), match["mac"]):
+        if not hmac.compare_digest(_mac(key, signed_part), match["mac"]):
             continue
         return RequestId(
             text, match["instance"], match["incarnation"], int(match["expiry"]) / 1000
@@ -74,5 +75,5 @@
     raise exceptions.BadId()
 
 
-def _mac(key: str, stem: str) -> str:
-    return hmac.new(key.encode(), stem.encode(), hashlib.sha256).hexdigest()[:16]
+def _mac(key: str, signed_part: str) -> str:
+    return hmac.new(key.encode(), signed_part.encode(), hashlib.sha256).hexdigest()[:16]
--- a/packages/daemon/cassiaquay_daemon/owners/tombstones.py
+++ b/packages/daemon/cassiaquay_daemon/owners/tombstones.py
@@ -1,9 +1,9 @@
-"""Ids whose requests have ended, kept small until no copy of them can matter.
+"""Tombstones, compact records of ended requests that keep late copies from running.
 
-The failure: a copy of a refused or finished request arrives late, its entry is gone,
-and it runs. The symptom is a booking made twice, or a request that ran although its
-caller was told "not run". An id stays here until its token has expired; from then on
-the owner runs no request that it sees for the first time, so nothing is lost.
+The failure: a copy of a refused or finished request arrives after its entry was
+dropped, and runs. The symptom is a booking made twice, or a request that ran although
+its caller got "not run". An id stays here until its token expires; after that, the
+owner refuses first copies of the id anyway.
 """
 
 import hashlib
@@ -16,14 +16,14 @@
 
 
 class Closed(typing.NamedTuple):
-    """What is left of an ended request.
+    """The record of an ended request.
 
     Attributes
     ----------
     team : str
-        Whose it was.
+        The team that sent it.
     outcome, code : str
-        As its caller was told.
+        As reported to its caller.
     """
 
     team: str
@@ -32,11 +32,11 @@
 
     @property
     def state(self) -> str:
-        """State as callers are told."""
+        """State as reported to callers."""
         return "refused" if self.outcome == "not_run" else "finished"
 
     def refusal(self) -> exceptions.Refusal:
-        """Return what a caller is told that asks for the answer again."""
+        """Return the refusal for a caller that requests the answer again."""
         if self.outcome == "completed":
             return exceptions.AnswerForgotten()
         if self.outcome == "failed":
@@ -47,36 +47,37 @@
 
 
 class Tombstones:
-    """Closed ids in buckets of one second of expiry.
+    """Closed ids in buckets of one second by expiry of their tokens.
 
-    Memory is bounded without forgetting an id that could still run: when there are
-    too many, the bucket that expires first goes and all ids of its second or before
-    count as expired from then on. They get ``outcome_unknown``, which is true.
+    Memory is bounded, and no dropped id can run: when there are too many ids, the
+    bucket that expires first is dropped, and all ids that expire in its second or
+    earlier count as expired from then on. Their callers get ``outcome_unknown``, which
+    is correct.
 
     Parameters
     ----------
     limit : int
-        Most ids kept; docs/design/ownership.md gives the bytes of each.
+        Maximum number of ids; docs/design/ownership.md gives the bytes per id.
     """
 
     def __init__(self, limit: int):
         self._limit = limit
         self._buckets: dict[int, dict[bytes, Closed]] = {}
-        self._kinds: dict[Closed, Closed] = {}
-        self._floor = 0
+        self._shared_records: dict[Closed, Closed] = {}
+        self._dropped_before = 0
         self._count = 0
 
     def __len__(self) -> int:
-        """Ids kept."""
+        """Return the number of ids kept."""
         return self._count
 
     def add(self, request_id: tokens.RequestId, closed: Closed) -> None:
-        """Keep an id; what is known of it already is replaced."""
+        """Add an id, or replace its record."""
         second = int(request_id.expiry)
-        if second < self._floor:
+        if second < self._dropped_before:
             return
-        # The same few outcomes are shared by all ids: one reference each.
-        closed = self._kinds.setdefault(closed, closed)
+        # Equal records are shared: an id costs only a reference to its record.
+        closed = self._shared_records.setdefault(closed, closed)
         bucket = self._buckets.setdefault(second, {})
         digest = _digest(request_id)
         if digest not in bucket:
@@ -86,26 +87,26 @@
             self._drop(min(self._buckets))
 
     def find(self, request_id: tokens.RequestId) -> Closed | None:
-        """Return what is known of an id."""
+        """Return the record of an id, or None."""
         bucket = self._buckets.get(int(request_id.expiry))
         return bucket.get(_digest(request_id)) if bucket else None
 
-    def may_be_gone(self, request_id: tokens.RequestId) -> bool:
-        """Tell whether the id, if it was here, has been dropped."""
-        return int(request_id.expiry) < self._floor
+    def may_be_dropped(self, request_id: tokens.RequestId) -> bool:
+        """Return whether a record of the id may have existed and been dropped."""
+        return int(request_id.expiry) < self._dropped_before
 
     def expire(self, uptime: float) -> None:
-        """Drop the ids whose tokens expired before ``uptime`` seconds of it."""
-        for second in [one for one in self._buckets if one + 1 < uptime]:
+        """Drop the ids whose tokens expired before ``uptime`` seconds."""
+        for second in [key for key in self._buckets if key + 1 < uptime]:
             self._drop(second)
 
     def _drop(self, second: int) -> None:
         self._count -= len(self._buckets.pop(second))
-        self._floor = max(self._floor, second + 1)
+        self._dropped_before = max(self._dropped_before, second + 1)
 
 
 def _digest(request_id: tokens.RequestId) -> bytes:
-    # A caller chooses the unique part: with a weak hash it could make two of its ids
-    # collide and be told the outcome of the other.
+    # The caller chooses the unique part of an id: with a weak hash it could make two
+    # ids collide, and one would get the outcome of the other.
     text = request_id.text.encode()
     return hashlib.blake2b(text, digest_size=DIGEST_BYTES).digest()
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -125,8 +125,8 @@
         bench.owner.detach(entry, True)
         bench.owner.acknowledge(name, "questions")
         bench.owner.acknowledge(name, "questions")
-        assert not bench.owner.held.entries
-        assert bench.owner.held.ledger.used == 0
+        assert not bench.owner.request_table.entries
+        assert bench.owner.request_table.ledger.used == 0
         with pytest.raises(exceptions.AnswerForgotten):
             bench.submit(name)
         assert bench.owner.outcome(name, "questions").outcome == "completed"
@@ -149,7 +149,7 @@
         names = [bench.new_id(seconds=second) for second in (50, 51, 52)]
         for name in names:
             await bench.owner.cancel(name, "questions")
-        assert len(bench.owner.held.closed) == 2
+        assert len(bench.owner.request_table.closed) == 2
         with pytest.raises(exceptions.TokenExpired):
             bench.submit(names[0])
         with pytest.raises(exceptions.TokenExpired):
@@ -202,9 +202,9 @@
             await owner_fakes.ended(entry)
             bench.owner.detach(entry, False)
             entries.append(entry)
-        assert bench.owner.held.ledger.used > 1024
+        assert bench.owner.request_table.ledger.used > 1024
         bench.owner.sweep_once()
-        assert bench.owner.held.ledger.used <= 1024
+        assert bench.owner.request_table.ledger.used <= 1024
         assert bench.owner.find(entries[0].accepted.id, "questions") is entries[0]
         with pytest.raises(exceptions.AnswerForgotten):
             bench.owner.find(entries[1].accepted.id, "questions")
--- a/tests/test_owner_schedules.py
+++ b/tests/test_owner_schedules.py
@@ -202,7 +202,7 @@
     @stateful.invariant()
     def not_run_did_not_run(self) -> None:
         for entry in self.bench.owner.table.values():
-            if entry.told.outcome == "not_run":
+            if entry.status.outcome == "not_run":
                 self.not_run.add(entry.accepted.id.text)
         ran = {key.rpartition("~")[0] for key in self.bench.servers.seen}
         assert not ran & self.not_run
@@ -225,14 +225,14 @@
 
     @stateful.invariant()
     def bounds_hold(self) -> None:
-        assert self.bench.owner.held.waiting_count <= MOST_WAITING
-        assert len(self.bench.owner.held.closed) <= 6
+        assert self.bench.owner.request_table.waiting_count <= MOST_WAITING
+        assert len(self.bench.owner.request_table.closed) <= 6
         waiting = [
             entry
             for entry in self.bench.owner.table.values()
             if entry.state is entries.State.WAITING
         ]
-        assert len(waiting) == self.bench.owner.held.waiting_count
+        assert len(waiting) == self.bench.owner.request_table.waiting_count
 
     def teardown(self) -> None:
         clock.now = self.real
@@ -265,8 +265,11 @@
 
 
 MUTANTS = {
-    "closed ids are forgotten": (table.Table, "refuse"),
-    "an owner sends without a last look": (dispatching.Dispatcher, "_check"),
+    "closed ids are forgotten": (table.Table, "close_id"),
+    "an owner sends without a last look": (
+        dispatching.Dispatcher,
+        "_check_before_sending",
+    ),
     "a dispatch is not noted": (table.Table, "dispatched"),
     "closed ids are not looked up": (tombstones.Tombstones, "find"),
 }
