--- a/packages/daemon/cassiaquay_daemon/owners/recovery.py
+++ b/packages/daemon/cassiaquay_daemon/owners/recovery.py
@@ -46,7 +46,7 @@
         self._backends: dict[str, backends.Backend] = {}
         for name in backends.backends.names():
             self._backends[name] = backends.backends.get(name)(http)
-        self._found: dict[str, RecoveredStream] = {}
+        self._streams: dict[str, RecoveredStream] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def find(
@@ -54,7 +54,7 @@
     ) -> RecoveredStream:
         """Return the stream of ``key``; raise OwnerGone if no server holds it."""
         self._drop_old()
-        existing = self._found.get(key)
+        existing = self._streams.get(key)
         if existing is not None and existing.refusal is None:
             return existing
         probes = []
@@ -73,7 +73,7 @@
             raise exceptions.OwnerGone()
         self.recovered += 1
         logs.event("recovered", key=key)
-        self._found[key] = found
+        self._streams[key] = found
         return found
 
     async def cancel(
@@ -130,10 +130,10 @@
 
     def _drop_old(self) -> None:
         oldest_kept = clock.now() - KEEP_SECONDS
-        for key in list(self._found):
-            too_many = len(self._found) > MAX_KEPT_STREAMS
-            if self._found[key].started_at < oldest_kept or too_many:
-                del self._found[key]
+        for key in list(self._streams):
+            too_many = len(self._streams) > MAX_KEPT_STREAMS
+            if self._streams[key].started_at < oldest_kept or too_many:
+                del self._streams[key]
 
 
 async def _first_found(candidates: list[RecoveredStream]) -> RecoveredStream | None:
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -258,7 +258,7 @@
             name = bench.new_id()
             url = f"http://{second.address}/v1/requests/{name.text}"
             asking = asyncio.create_task(http.post(url, data=BODY, headers=JSON))
-            await owner_fakes.until(lambda: len(second.recovery._found) == 1)
+            await owner_fakes.until(lambda: len(second.recovery._streams) == 1)
             prefilled.set()
             async with await asking as response:
                 assert b'"outcome":"completed"' in await response.read()
@@ -303,7 +303,7 @@
             reading = asyncio.create_task(
                 http.get(f"http://{second.address}{path}", headers=AUTH)
             )
-            await owner_fakes.until(lambda: bool(second.recovery._found))
+            await owner_fakes.until(lambda: bool(second.recovery._streams))
             members.heard["cq-1"] = member
             await owner_fakes.until(lambda: bool(entry.readers))
             with owner_fakes.later(monkeypatch, 60.0):
