--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -227,7 +227,7 @@
                 self._pauses,
             ).run(),
             self._limits.renew(),
-            self._dependencies.ask(),
+            self._dependencies.poll(),
             self._engine_reports.read(),
             self._owner.sweep(),
         ]
--- a/packages/daemon/cassiaquay_daemon/owners/dependencies.py
+++ b/packages/daemon/cassiaquay_daemon/owners/dependencies.py
@@ -75,7 +75,7 @@
         """Store a keeper's report."""
         self._reports[message.shard] = HealthReport(message, clock.now())
 
-    async def ask(self) -> None:
+    async def poll(self) -> None:
         """Poll keepers until cancelled."""
         while True:
             await asyncio.sleep(POLL_SECONDS)
