--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""Keepers that come, go and wake up; permits that are lost or come too late."""
+"""Keepers that take over, lose their role or are paused; lost and late permits."""
 
 import asyncio
 
@@ -10,12 +10,12 @@
 from cassiaquay_dev.lab import virtual_time
 from cassiaquay_schema import messages
 
-RENEW = 0.7
+RENEW_SECONDS = 0.7
 RUNS = messages.Outstanding("runs", "", "", 0, "tutor-1", 40, 20)
 
 
 class Site:
-    """One instance's keeper and owner roles, and two other owners."""
+    """The keeper and owner roles of one instance, and two other owners."""
 
     def __init__(self, keeps: bool = True):
         self.links = fakes.Links()
@@ -30,11 +30,11 @@
         )
 
     def shard(self):
-        """Return the shard, kept here."""
+        """Return the shard that this instance keeps."""
         return self.keeper.shards[fakes.SHARD]
 
     def open(self):
-        """Let both other owners tell that nothing is out."""
+        """Let both other owners report that they have dispatched nothing."""
         for owner in self.others:
             self.keeper.renewal(owner, messages.Renewal(fakes.SHARD, []))
 
@@ -52,35 +52,35 @@
     asyncio.run(bounded())
 
 
-async def _turn() -> None:
+async def _run_pending() -> None:
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-def test_a_new_keeper_learns_what_is_out_before_it_grants(time) -> None:
-    """The keeper before this one has filled an engine and died.
+def test_a_new_keeper_grants_only_after_owners_have_renewed(time) -> None:
+    """The previous keeper has failed after it filled an engine.
 
-    Demands come first, the owners' renewals later. Nothing is granted until both
-    owners have told; then the engine that is full gets nothing.
+    Demands arrive before the owners' renewals. The new keeper grants nothing until both
+    owners have renewed, and then nothing on the full engine.
     """
 
     async def work() -> None:
         site = Site()
         asker = site.others[0]
         site.keeper.demand(asker, fakes.demand("waits"))
-        await _turn()
+        await _run_pending()
         assert not asker.permits()
         for owner in site.others:
             assert messages.RenewalQuery(fakes.SHARD) in owner.sent
-        full = []
+        dispatched = []
         for number in range(32):
             item = messages.Outstanding(f"r{number}", "", "", 0, "tutor-1", 40, 20)
-            full.append(item)
-        site.keeper.renewal(site.others[1], messages.Renewal(fakes.SHARD, full))
-        await _turn()
+            dispatched.append(item)
+        site.keeper.renewal(site.others[1], messages.Renewal(fakes.SHARD, dispatched))
+        await _run_pending()
         assert not asker.permits()
         site.keeper.renewal(asker, messages.Renewal(fakes.SHARD, []))
-        await _turn()
+        await _run_pending()
         assert site.shard().count_on("tutor-1") == 32
         assert asker.permits()["waits"] != "tutor-1"
 
@@ -88,29 +88,29 @@
 
 
 def test_a_new_keeper_opens_without_an_owner_that_never_answers(time) -> None:
-    """One owner is cut off: the keeper waits a renewal period and a half for it."""
+    """One owner is partitioned: the keeper waits 1.5 renewal periods for it."""
 
     async def work() -> None:
         site = Site()
         asker = site.others[0]
         site.keeper.demand(asker, fakes.demand("waits"))
         site.keeper.renewal(asker, messages.Renewal(fakes.SHARD, []))
-        await _turn()
+        await _run_pending()
         assert not asker.permits()
         for _ in range(2):
-            time.now += RENEW * 0.75
+            time.now += RENEW_SECONDS * 0.75
             site.keeper.demand(asker, fakes.demand("waits"))
-            await _turn()
+            await _run_pending()
         assert "waits" in asker.permits()
 
     _run(work)
 
 
-def test_a_keeper_that_is_none_any_more_grants_nothing(time) -> None:
-    """The members change while demands wait here.
+def test_a_keeper_that_lost_its_role_grants_nothing(time) -> None:
+    """The role moves to another instance while demands wait here.
 
-    Owners tell the new keeper; a grant from here would fill the engines twice. Who
-    still asks here is told whom to ask.
+    Owners send their demands to the new keeper; grants from both would overfill the
+    engines. An owner that still sends a demand here is redirected.
     """
 
     async def work() -> None:
@@ -119,10 +119,10 @@
         site.keeper.demand(asker, fakes.demand("waits"))
         site.members.move("cq-2")
         site.open()
-        await _turn()
+        await _run_pending()
         assert not site.shard().queue
         site.keeper.demand(asker, fakes.demand("waits"))
-        await _turn()
+        await _run_pending()
         assert not asker.permits()
         assert asker.sent[-1] == messages.NotKeeper("waits", "cq-2")
 
@@ -130,10 +130,10 @@
 
 
 def test_a_keeper_that_was_paused_drops_its_stale_queue(time) -> None:
-    """The process sleeps for ten seconds with demands in its queue.
+    """The process is paused for ten seconds with demands in its queue.
 
-    Their owners have turned to another keeper meanwhile. On waking it grants none of
-    them and learns anew what is out.
+    Their owners have used another keeper meanwhile. After the pause it grants none of
+    them, and waits for the owners' renewals again.
     """
 
     async def work() -> None:
@@ -143,7 +143,7 @@
         site.keeper.demand(asker, fakes.demand("stale", remaining_ms=60_000))
         time.now += 10.0
         ticking = asyncio.create_task(site.keeper.tick())
-        await _turn()
+        await _run_pending()
         ticking.cancel()
         assert not asker.permits()
         assert not site.shard().queue
@@ -152,8 +152,8 @@
     _run(work)
 
 
-def test_a_demand_that_its_owner_does_not_repeat_is_forgotten(time) -> None:
-    """An owner dies without closing its connection: no engine is kept for it."""
+def test_a_demand_that_its_owner_does_not_repeat_expires(time) -> None:
+    """An owner fails without closing its connection: its demand leaves the queue."""
     shard = fakes.shard({"a": 1})
     owner = fakes.Owner()
     shard.add(fakes.demand("gone"), owner)
@@ -164,11 +164,11 @@
     assert list(shard.queue) == ["alive"]
 
 
-def test_a_permit_that_is_never_used_frees_its_capacity_after_its_end(time) -> None:
-    """An owner gets a permit and dies. The engine is held for the permit's life.
+def test_an_unused_permit_frees_its_capacity_when_it_expires(time) -> None:
+    """An owner fails with an unused permit, whose capacity is held until it expires.
 
-    It is not held for the lease of a running request on top, since nobody has told of
-    a dispatch.
+    It is not held for the lease of a running request as well, since no dispatch was
+    reported.
     """
     shard = fakes.shard({"a": 1})
     policy = fakes.policy(shard)
@@ -184,21 +184,21 @@
 
 
 def test_a_permit_lost_with_its_connection_is_sent_again(time) -> None:
-    """The owner asks again: it has no permit. It gets the same one, not another."""
+    """An owner without its permit repeats the demand, and gets no second permit."""
     shard = fakes.shard({"a": 8, "b": 8})
     policy = fakes.policy(shard)
     lost, again = fakes.Owner(), fakes.Owner()
     shard.add(fakes.demand("one"), lost)
     policy.serve()
-    time.now += RENEW
+    time.now += RENEW_SECONDS
     shard.add(fakes.demand("one"), again)
     policy.serve()
     assert again.permits() == lost.permits()
     assert len(shard.running) == 1
 
 
-def test_a_request_that_ended_unheard_is_dropped_by_the_next_renewal(time) -> None:
-    """The news of an end is lost: the owner's next renewal does not name it."""
+def test_a_request_whose_release_was_lost_is_dropped_by_the_next_renewal(time) -> None:
+    """The release message is lost; the owner's next renewal omits the request."""
     shard = fakes.shard({"a": 1})
     out = messages.Outstanding("one", "", "", 0, "a", 40, 20)
     shard.renew("cq-1", [out])
@@ -209,13 +209,13 @@
 
 
 def test_a_cancelled_request_leaves_the_queue_at_once(time) -> None:
-    """The caller gives up while its request waits; the keeper forgets it."""
+    """The caller cancels while its request waits; the keeper drops the demand."""
 
     async def work() -> None:
         site = Site()
         demand = fakes.demand("given-up")
         asking = asyncio.create_task(site.demands.obtain(demand, time.now + 5.0))
-        await _turn()
+        await _run_pending()
         assert "given-up" in site.shard().queue
         asking.cancel()
         await asyncio.gather(asking, return_exceptions=True)
@@ -224,10 +224,10 @@
     _run(work)
 
 
-def test_a_permit_that_comes_after_the_end_is_given_back(time) -> None:
-    """The caller cancels while a permit is on its way, or a second keeper grants too.
+def test_a_permit_that_arrives_after_its_request_ended_is_returned(time) -> None:
+    """The caller cancels while a permit is in transit, or a second keeper grants too.
 
-    Nobody waits for it any more; without giving it back an engine would be held.
+    Unless the permit is returned, it holds engine capacity for no request.
     """
 
     async def work() -> None:
@@ -240,10 +240,10 @@
     _run(work)
 
 
-def test_a_repeated_permit_of_a_running_request_is_left_alone(time) -> None:
-    """A keeper sends a permit twice; the request already runs by the first.
+def test_a_duplicate_permit_of_a_running_request_is_ignored(time) -> None:
+    """A keeper sends a permit twice, and the request already runs with the first.
 
-    Giving the second one back would free an engine that is busy.
+    Returning the second would free a slot that is in use.
     """
 
     async def work() -> None:
@@ -257,15 +257,15 @@
     _run(work)
 
 
-def test_an_owner_asks_the_keeper_that_it_is_pointed_to(time) -> None:
-    """The owner's view of the members is behind: the keeper that it asks says so."""
+def test_a_redirected_owner_sends_its_demand_to_the_named_keeper(time) -> None:
+    """The owner's membership view is stale: the keeper that it uses redirects it."""
 
     async def work() -> None:
         site = Site(keeps=False)
         old, new = site.others
         demand = fakes.demand("asks")
         asking = asyncio.create_task(site.demands.obtain(demand, time.now + 5.0))
-        await _turn()
+        await _run_pending()
         site.demands.answer(old, messages.NotKeeper("asks", "cq-3"))
         assert [type(item) for item in new.sent] == [messages.Demand]
         permit = messages.Permit("asks", "tutor-2", 1500, fakes.SHARD)
@@ -275,7 +275,7 @@
     _run(work)
 
 
-def test_news_of_dispatch_and_first_event_is_sent_once(time) -> None:
+def test_dispatch_and_first_event_are_reported_once(time) -> None:
     async def work() -> None:
         site = Site(keeps=False)
         answer = answers.Answer()
@@ -293,12 +293,11 @@
     _run(work)
 
 
-def test_a_keeper_is_open_before_the_first_request_comes(time) -> None:
-    """A large fleet starts, and its first request comes seconds later.
+def test_a_keeper_opens_its_shards_before_the_first_request(time) -> None:
+    """A large fleet starts, and its first request arrives seconds later.
 
-    A keeper of a large fleet waits for a second for what owners have out. That second
-    begins when the role is known: begun with the first request, all callers of the
-    shard's first second would get late answers.
+    A keeper of a large fleet waits a second for the owners' renewals. If that second
+    began with the first request instead of the role, the first answers would be late.
     """
 
     async def work() -> None:
@@ -312,14 +311,14 @@
             time.now += keeper.TICK_SECONDS
             site.keeper.tick_once()
         site.keeper.demand(many[0], fakes.demand("first"))
-        await _turn()
+        await _run_pending()
         assert "first" in many[0].permits()
 
     _run(work)
 
 
-def test_a_keeper_takes_up_nothing_while_the_members_change(time) -> None:
-    """An instance that has just started knows few others, and more each moment."""
+def test_a_keeper_opens_no_shard_while_membership_changes(time) -> None:
+    """An instance that has just started sees few members, and new ones join."""
 
     async def work() -> None:
         site = Site()
@@ -332,17 +331,19 @@
     _run(work)
 
 
-def test_passes_over_a_long_queue_leave_time_for_the_rest(monkeypatch) -> None:
-    """Hundreds of owners send news to a keeper whose queue is long.
+def test_passes_over_a_long_queue_leave_half_of_the_time_for_messages(
+    monkeypatch,
+) -> None:
+    """Hundreds of owners send messages to a keeper with a long queue.
 
-    Each message asks for a pass, and each pass takes 10 ms of this keeper's processor.
-    At most half of its time goes into passes; the messages are taken in meanwhile.
+    Each message requests a pass, and each pass takes 10 ms of processor time. At most
+    half of the time goes into passes; the rest is left for messages.
     """
     passes = []
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         spent = 0.0
         before = keeper.clock.use(lambda: loop.time() + spent)
         site = Site()
@@ -355,7 +356,7 @@
             spent += 0.01
 
         monkeypatch.setattr(site.keeper._policies[fakes.SHARD], "serve", serve)
-        while loop.time() + spent < began + 1.0:
+        while loop.time() + spent < started_at + 1.0:
             site.keeper.serve_soon(fakes.SHARD)
             await asyncio.sleep(0.001)
         keeper.clock.use(before)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner's rules, between fakes of the keepers and the backend servers."""
+"""The owner, tested with fake keepers and fake backend servers."""
 
 import asyncio
 import json
@@ -19,15 +19,15 @@
     asyncio.run(bounded())
 
 
-def test_a_copy_of_a_request_attaches_to_the_same_answer():
-    """The caller sends twice under one id and gets one answer, made once."""
+def test_a_copy_of_a_request_gets_the_answer_of_the_first():
+    """The caller sends a request twice under one id; it is dispatched once."""
 
     async def work() -> None:
         bench = owner_fakes.Bench()
-        name = bench.new_id()
-        first = bench.submit(name, deadline_ms=9000)
+        request_id = bench.new_id()
+        first = bench.submit(request_id, deadline_ms=9000)
         await owner_fakes.ended(first)
-        assert bench.submit(name, deadline_ms=8000) is first
+        assert bench.submit(request_id, deadline_ms=8000) is first
         assert len(bench.servers.seen) == 1
 
     run(work())
@@ -35,20 +35,20 @@
 
 @pytest.mark.parametrize("other", [{"prompt": "other"}, {"tier": "urgent"}])
 def test_another_body_under_a_known_id_is_a_conflict_and_never_runs(other):
-    """The caller sees 409 id_conflict, not the answer to the other request.
+    """The caller gets 409 id_conflict instead of the answer to the other request.
 
-    Its program uses an id twice by mistake: the second request, which differs in more
-    than its remaining time, would else get the first one's answer.
+    A caller uses an id twice by mistake. The second request differs in more than its
+    remaining time; without the check it would get the first one's answer.
     """
 
     async def work() -> None:
         bench = owner_fakes.Bench()
-        name = bench.new_id()
-        await owner_fakes.ended(bench.submit(name))
-        with pytest.raises(exceptions.IdConflict) as caught:
-            bench.submit(name, **other)
-        assert caught.value.outcome == "outcome_unknown"
-        assert caught.value.status == 409
+        request_id = bench.new_id()
+        await owner_fakes.ended(bench.submit(request_id))
+        with pytest.raises(exceptions.IdConflict) as refused:
+            bench.submit(request_id, **other)
+        assert refused.value.outcome == "outcome_unknown"
+        assert refused.value.status == 409
         assert len(bench.servers.seen) == 1
 
     run(work())
@@ -58,97 +58,97 @@
     "body",
     [{"service": "none"}, {"prompt": ""}, {"tier": "none"}, {"max_tokens": 0}],
 )
-def test_a_request_refused_as_wrong_stays_refused_when_a_copy_is_right(body):
-    """The caller is told "not run", forms a new id, and both would run.
+def test_an_invalid_request_stays_refused_when_a_copy_becomes_valid(body):
+    """The caller gets "not run" and retries under a new id; only the retry may run.
 
-    The configuration that its request needs comes a moment later; a copy of the first
-    request that was late in the network would then be accepted.
+    The configuration that the request needs arrives a moment later. A copy of the first
+    request that was delayed in the network would then be accepted.
     """
 
     async def work() -> None:
         bench = owner_fakes.Bench()
-        name = bench.new_id()
-        with pytest.raises(exceptions.Refusal) as caught:
-            bench.submit(name, **body)
-        assert caught.value.outcome == "not_run"
-        with pytest.raises(exceptions.RefusedBefore) as again:
-            bench.submit(name)
-        assert again.value.code == caught.value.code
+        request_id = bench.new_id()
+        with pytest.raises(exceptions.Refusal) as refused:
+            bench.submit(request_id, **body)
+        assert refused.value.outcome == "not_run"
+        with pytest.raises(exceptions.RefusedBefore) as refused_again:
+            bench.submit(request_id)
+        assert refused_again.value.code == refused.value.code
         assert not bench.servers.seen
 
     run(work())
 
 
 def test_a_cancellation_that_overtakes_its_request_closes_the_id():
-    """The caller cancels, is told "not run", and books again under a new id.
+    """The caller cancels, gets "not run", and books again under a new id.
 
-    The cancellation arrives before the request; the request then must not run.
+    The cancellation arrives before the request, which must not run any more.
     """
 
     async def work() -> None:
         bench = owner_fakes.Bench()
-        name = bench.new_id()
-        assert bench.owner.outcome(name, "questions").state == "unseen"
-        told = await bench.owner.cancel(name, "questions")
-        assert (told.outcome, told.state) == ("not_run", "refused")
+        request_id = bench.new_id()
+        assert bench.owner.outcome(request_id, "questions").state == "unseen"
+        status = await bench.owner.cancel(request_id, "questions")
+        assert (status.outcome, status.state) == ("not_run", "refused")
         with pytest.raises(exceptions.RefusedBefore):
-            bench.submit(name)
-        assert bench.owner.outcome(name, "questions") == told
+            bench.submit(request_id)
+        assert bench.owner.outcome(request_id, "questions") == status
         assert not bench.servers.seen
 
     run(work())
 
 
 def test_a_first_copy_after_the_tokens_expiry_is_unknown_never_not_run():
-    """The caller sees outcome_unknown: the entry may have been dropped before."""
+    """The caller gets outcome_unknown: an earlier entry may have been dropped."""
 
     async def work() -> None:
         bench = owner_fakes.Bench()
-        with pytest.raises(exceptions.TokenExpired) as caught:
+        with pytest.raises(exceptions.TokenExpired) as refused:
             bench.submit(bench.new_id(seconds=-0.0))
-        assert caught.value.outcome == "outcome_unknown"
+        assert refused.value.outcome == "outcome_unknown"
 
     run(work())
 
 
 def test_a_late_copy_of_a_dropped_answer_is_not_run_again(monkeypatch):
-    """The caller that acknowledged its answer sees "completed, not kept any more".
+    """A copy of a request arrives after its acknowledged answer was dropped.
 
-    A copy of its request was held up in the network until the answer was let go.
+    The request must not run again; its outcome is still "completed".
     """
 
     async def work() -> None:
         bench = owner_fakes.Bench()
-        name = bench.new_id()
-        entry = bench.submit(name)
+        request_id = bench.new_id()
+        entry = bench.submit(request_id)
         await owner_fakes.ended(entry)
         bench.owner.detach(entry, True)
-        bench.owner.acknowledge(name, "questions")
-        bench.owner.acknowledge(name, "questions")
+        bench.owner.acknowledge(request_id, "questions")
+        bench.owner.acknowledge(request_id, "questions")
         assert not bench.owner.request_table.entries
         assert bench.owner.request_table.ledger.used == 0
         with pytest.raises(exceptions.AnswerForgotten):
-            bench.submit(name)
-        assert bench.owner.outcome(name, "questions").outcome == "completed"
+            bench.submit(request_id)
+        assert bench.owner.outcome(request_id, "questions").outcome == "completed"
         with pytest.raises(exceptions.Forbidden):
-            bench.submit(name, team="parents")
+            bench.submit(request_id, team="parents")
         assert len(bench.servers.seen) == 1
 
     run(work())
 
 
 def test_too_many_closed_ids_make_old_tokens_expire_early():
-    """A caller with an old id sees outcome_unknown, and nothing runs twice.
+    """A caller with an old id gets outcome_unknown, and no request runs twice.
 
-    More ids were closed than the owner keeps; it drops the ones whose tokens expire
-    first and takes every id of that age as expired.
+    More ids were closed than the owner keeps. It drops those whose tokens expire first,
+    and treats all ids that expire as early as expired.
     """
 
     async def work() -> None:
         bench = owner_fakes.Bench(max_closed=2)
         names = [bench.new_id(seconds=second) for second in (50, 51, 52)]
-        for name in names:
-            await bench.owner.cancel(name, "questions")
+        for request_id in names:
+            await bench.owner.cancel(request_id, "questions")
         assert len(bench.owner.request_table.closed) == 2
         with pytest.raises(exceptions.TokenExpired):
             bench.submit(names[0])
@@ -161,10 +161,11 @@
     run(work())
 
 
-def test_a_full_table_gives_up_the_lowest_waiting_tier_first():
-    """An urgent caller is served; a background caller sees "not run", table_full.
+def test_a_full_table_refuses_the_lowest_waiting_tier_first():
+    """An urgent request is served; background requests get "not run", table_full.
 
-    The table holds two waiting requests; an urgent one comes, then a background one.
+    The table holds two waiting requests when an urgent one arrives, then a background
+    one.
     """
 
     async def work() -> None:
@@ -184,9 +185,9 @@
 
 
 def test_memory_of_answers_is_bounded_by_dropping_the_lowest_tiers_first():
-    """A background caller that comes back late sees that its answer was let go.
+    """When answers exceed their memory limit, the background one is dropped first.
 
-    Answers fill the memory allowed for them; the urgent one is still there.
+    Its caller gets a refusal when it reconnects; the urgent answer is kept.
     """
 
     async def work() -> None:
@@ -213,7 +214,7 @@
 
 
 def test_an_unfinished_request_cannot_be_acknowledged():
-    """The caller sees 409 not_finished, and its request goes on."""
+    """The caller gets 409 not_finished, and its request continues."""
 
     async def work() -> None:
         bench = owner_fakes.Bench()
@@ -227,64 +228,66 @@
     run(work())
 
 
-def test_cancelling_a_running_request_is_told_as_unknown_and_its_waste_is_counted():
-    """The caller that gives up a running answer is not told that it did not run."""
+def test_cancelling_a_running_request_gives_unknown_and_releases_its_permit():
+    """The caller that cancels a running request must not get "not run"."""
 
     async def work() -> None:
         bench = owner_fakes.Bench()
         bench.servers.script = [owner_fakes.hang]
         entry = bench.submit(bench.new_id())
         await owner_fakes.until(lambda: bool(bench.servers.seen))
-        told = await bench.owner.cancel(entry.accepted.id, "questions")
-        assert (told.outcome, told.code) == ("outcome_unknown", "cancelled_running")
+        status = await bench.owner.cancel(entry.accepted.id, "questions")
+        assert (status.outcome, status.code) == ("outcome_unknown", "cancelled_running")
         await owner_fakes.until(lambda: bool(bench.servers.stopped))
         assert [one.outcome for one in bench.keepers.released] == ["unknown"]
 
     run(work())
 
 
-def test_a_booking_past_its_deadline_can_be_settled_later():
-    """The caller sees outcome_unknown at its deadline, and later that it completed.
+def test_the_outcome_of_a_booking_past_its_deadline_can_be_queried_later():
+    """The caller gets outcome_unknown at its deadline, and "completed" later.
 
-    A booking cannot be stopped. The owner goes on reading its answer after the
-    deadline, so that the caller need not guess whether to book again.
+    A booking cannot be stopped. The owner reads on its answer after the deadline, so
+    that the caller can find out whether to book again.
     """
 
     async def work() -> None:
         bench = owner_fakes.Bench()
         finish = asyncio.Event()
 
-        async def late(answer) -> None:
+        async def complete_later(answer) -> None:
             await finish.wait()
             answer.append(b'{"ok":true}')
 
-        bench.servers.script = [late]
-        name = bench.new_id()
-        entry = bench.submit(name, service="bookings", deadline_ms=50, idempotent=False)
+        bench.servers.script = [complete_later]
+        request_id = bench.new_id()
+        entry = bench.submit(
+            request_id, service="bookings", deadline_ms=50, idempotent=False
+        )
         final = await owner_fakes.ended(entry)
         assert final["code"] == "deadline_exceeded"
         assert not bench.keepers.released
         finish.set()
         await owner_fakes.until(lambda: bool(bench.keepers.released))
-        assert bench.owner.outcome(name, "questions").outcome == "completed"
+        assert bench.owner.outcome(request_id, "questions").outcome == "completed"
         assert entry.answer.final["count"] == 1
         assert len(bench.servers.seen) == 1
 
     run(work())
 
 
-def test_a_running_booking_is_not_cut_when_its_caller_goes(monkeypatch):
-    """The caller that comes back reads the booking that was made meanwhile."""
+def test_a_running_booking_continues_when_its_caller_disconnects(monkeypatch):
+    """The caller reconnects and reads the booking that was completed meanwhile."""
 
     async def work() -> None:
         bench = owner_fakes.Bench()
         finish = asyncio.Event()
 
-        async def late(answer) -> None:
+        async def complete_later(answer) -> None:
             await finish.wait()
             answer.append(b'{"ok":true}')
 
-        bench.servers.script = [late]
+        bench.servers.script = [complete_later]
         entry = bench.submit(bench.new_id(), service="bookings")
         await owner_fakes.until(lambda: bool(bench.servers.seen))
         bench.owner.detach(entry, False)
@@ -300,24 +303,24 @@
     ("service", "code"),
     [("tutor", "caller_gone_running"), ("finishing", "completed")],
 )
-def test_work_of_a_caller_that_has_gone_follows_the_services_setting(
+def test_a_running_request_without_a_caller_follows_the_services_setting(
     monkeypatch, service, code
 ):
-    """A caller's connection breaks while its answer is made, and it stays away.
+    """A caller's connection fails while its request runs, and it does not reconnect.
 
-    Within the grace time nothing happens; after it, the engine is told to stop unless
-    the service wants its work finished.
+    Within the grace time the request continues. After it, the engine is told to stop,
+    unless the service's ``on_disconnect`` setting is "finish".
     """
 
     async def work() -> None:
         bench = owner_fakes.Bench()
         finish = asyncio.Event()
 
-        async def late(answer) -> None:
+        async def complete_later(answer) -> None:
             await finish.wait()
             answer.append(b'{"text":"a"}')
 
-        bench.servers.script = [late]
+        bench.servers.script = [complete_later]
         entry = bench.submit(bench.new_id(), service=service)
         await owner_fakes.until(lambda: bool(bench.servers.seen))
         bench.owner.detach(entry, False)
@@ -333,11 +336,11 @@
     run(work())
 
 
-def test_after_a_pause_nothing_is_dispatched_for_callers_that_have_gone(monkeypatch):
-    """A caller that left during the pause is never charged for an answer.
+def test_after_a_pause_requests_of_disconnected_callers_are_not_dispatched(monkeypatch):
+    """A request whose caller disconnected during a pause is not dispatched.
 
-    The process is stopped with a waiting request and woken when its caller has gone
-    and a permit lies there; the permit goes back, and the request is not run.
+    After the pause its permit has arrived and its caller has disconnected; the permit
+    is returned, and the request ends as not run.
     """
 
     async def work() -> None:
@@ -357,10 +360,10 @@
 
 
 def test_a_permit_that_expired_during_a_pause_is_not_used(monkeypatch):
-    """The caller waits a little longer; the engine is not sent work out of turn.
+    """An engine must not get a request whose capacity was granted to others meanwhile.
 
-    The process stops between the permit and the first byte for longer than both the
-    permit and the deadline; on waking it must not send.
+    The process is paused between the permit and the first byte for longer than the
+    permit and the deadline; after the pause it must not send.
     """
 
     async def work() -> None:
@@ -377,10 +380,10 @@
     run(work())
 
 
-def test_a_server_that_began_to_leave_after_the_permit_gets_nothing():
-    """The caller is served by another server; the leaving one gets no new work.
+def test_a_server_that_starts_to_leave_after_the_permit_gets_no_request():
+    """The request runs on another server; the leaving one gets no new work.
 
-    The list shows the server as leaving while the connection to it is being opened.
+    The instance list shows the server as leaving while the connection is being opened.
     """
 
     async def work() -> None:
@@ -397,8 +400,8 @@
     run(work())
 
 
-def test_an_answer_that_broke_off_for_good_is_unknown_and_not_sent_again():
-    """The caller sees outcome_unknown; no second server gets the request."""
+def test_a_request_whose_answer_is_lost_is_unknown_and_not_sent_again():
+    """The caller gets outcome_unknown; no second server gets the request."""
 
     async def work() -> None:
         bench = owner_fakes.Bench()
@@ -410,18 +413,18 @@
     run(work())
 
 
-def test_a_leaving_owner_hands_waiting_requests_back_and_finishes_the_others():
-    """Waiting callers see "not run" with another address; the others their answers."""
+def test_a_leaving_owner_refuses_waiting_requests_and_finishes_running_ones():
+    """Waiting requests get "not run" and another address; running ones complete."""
 
     async def work() -> None:
         bench = owner_fakes.Bench()
         finish = asyncio.Event()
 
-        async def late(answer) -> None:
+        async def complete_later(answer) -> None:
             await finish.wait()
             answer.append(b'{"text":"a"}')
 
-        bench.servers.script = [late]
+        bench.servers.script = [complete_later]
         running = bench.submit(bench.new_id())
         await owner_fakes.until(lambda: bool(bench.servers.seen))
         bench.keepers.open = False
@@ -441,7 +444,7 @@
     run(work())
 
 
-def test_the_remaining_time_is_no_part_of_a_bodys_fingerprint():
+def test_the_fingerprint_of_a_body_excludes_the_remaining_time():
     one = requests.read(json.dumps({"service": "s", "deadline_ms": 5}).encode())
     two = requests.read(json.dumps({"service": "s", "deadline_ms": 4}).encode())
     other = requests.read(json.dumps({"service": "s", "payload": 1}).encode())
@@ -450,7 +453,7 @@
 
 
 def test_a_request_that_crashes_servers_is_refused_under_new_ids():
-    """Guards against a caller that starts over and crashes server after server."""
+    """A caller that retries under new ids must not crash server after server."""
 
     async def work() -> None:
         bench = owner_fakes.Bench()
