--- a/tests/owner_fakes.py
+++ b/tests/owner_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the owner's interfaces: capacity that grants, scripted backend servers."""
+"""Fakes for tests of the owner: capacity that grants, scripted backend servers."""
 
 import asyncio
 import contextlib
@@ -61,10 +61,10 @@
 
 
 class Servers:
-    """What the fake backend servers saw, and what they do next.
+    """Records what the fake backend servers receive, and scripts their replies.
 
-    ``script`` holds for each dispatch a function of the answer that awaits, appends
-    and returns or raises; the last one is used again.
+    ``script`` holds one function of the answer for each dispatch, which awaits, appends
+    events and returns or raises; the last one is repeated.
     """
 
     def __init__(self) -> None:
@@ -134,7 +134,7 @@
 
 
 class Keepers:
-    """Grants everything, unless closed; then only what a test lets through."""
+    """Grants every demand while open; otherwise demands wait until it is opened."""
 
     def __init__(self) -> None:
         self.open = True
@@ -170,7 +170,7 @@
 
 
 class Crashes:
-    """What this instance alone knows of requests under which servers end."""
+    """Quarantine of requests that crash servers, without reports of other instances."""
 
     def __init__(self, settings: settings_schema.Settings):
         self._quarantine = quarantine.Quarantine(settings)
@@ -180,7 +180,7 @@
 
 
 class Bench:
-    """An owner between fakes."""
+    """An owner with fake keepers and fake backend servers."""
 
     def __init__(self, **limits: float):
         lines = "\n".join(f"{name} = {value}" for name, value in limits.items())
@@ -200,7 +200,7 @@
         self._count = 0
 
     def new_id(self, seconds: float | None = None) -> tokens.RequestId:
-        """Return an unused id; its token lives for ``seconds`` of the owner's life."""
+        """Return an unused id whose token expires after ``seconds`` of uptime."""
         self._count += 1
         token = self.owner.mint()
         if seconds is not None:
@@ -215,7 +215,7 @@
         team: str = "questions",
         **body: typing.Any,
     ):
-        """Submit a request and, like a connected caller, read its answer."""
+        """Submit a request and, unless ``read`` is false, attach a reader."""
         values = {"service": "tutor", "prompt": "why?", "max_tokens": 3, **body}
         if values["service"] == "bookings":
             values = {"service": "bookings", "path": "/book", **body}
@@ -243,7 +243,7 @@
 
 @contextlib.contextmanager
 def later(monkeypatch: typing.Any, seconds: float):
-    """Let the daemon's clock show a later time, as after a pause of the process."""
+    """Set the daemon's clock ahead, as after a pause of the process."""
     real = clock.now
     with monkeypatch.context() as patch:
         patch.setattr(clock, "now", lambda: real() + seconds)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of the whole fleet that no two instances talk about."""
+"""Fleet-wide retry budgets and quotas, without coordination for each request."""
 
 import asyncio
 import math
@@ -25,12 +25,12 @@
 )
 QUOTA = routing.Quota(100.0, 100.0, True, 10)
 TEAM = routing.Team("blue", None, QUOTA)
-# What the fleet may run of the team in one window: the users' bound.
+# Most tokens of the team that the fleet may run in one window.
 BOUND = (100.0 * 8.0 + 100.0) * 1.25 + 1000.0
 
 
 class Facts:
-    """What a request says of its tokens."""
+    """Token counts that a request states."""
 
     def __init__(self, tokens: int):
         self.prompt_tokens = tokens
@@ -39,16 +39,16 @@
 
 
 class Members(fakes.Membership):
-    """Members of a fleet of nine, of which some can be heard."""
+    """Membership of a fleet of nine, of which ``heard`` instances are reachable."""
 
     heard = 9
 
     def fleet_size(self) -> int:
-        """Return nine, whoever is cut off."""
+        """Return nine, also in a partition."""
         return 9
 
     def alive(self) -> list:
-        """Return those that can be heard."""
+        """Return the reachable instances."""
         return [None] * self.heard
 
 
@@ -57,10 +57,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        found = routing.Routing(
+        routes = routing.Routing(
             1, {}, {"k": TEAM}, {"blue": QUOTA}, True, {}, routing.Bounds(0, 0, 0, 0)
         )
-        self.current = self.current._replace(routes=found)
+        self.current = self.current._replace(routes=routes)
 
 
 @pytest.fixture(name="time")
@@ -70,13 +70,13 @@
 
 
 def _settings(**gateway) -> settings.Settings:
-    found = fakes.settings("cq-1")
+    base = fakes.settings("cq-1")
     changed = {name: getattr(GATEWAY, name) for name in GATEWAY.__struct_fields__}
     return settings.Settings(
-        instance=found.instance,
-        domain=found.domain,
-        keys=found.keys,
-        platform=found.platform,
+        instance=base.instance,
+        domain=base.domain,
+        keys=base.keys,
+        platform=base.platform,
         gateway=settings.Gateway(**(changed | gateway)),
     )
 
@@ -86,22 +86,22 @@
 
 
 async def _spend_window(time, fleet: list[quotas.Quotas], tokens: int) -> int:
-    """Spend all that instances may in a window of eight seconds."""
+    """Spend as much as all instances allow in a window of eight seconds."""
     spent = 0
-    # Nobody answers those without the role; real waits for that would take minutes.
+    # Queries to other instances get no answer here; real timeouts would take minutes.
     with mock.patch.object(quotas, "QUERY_TIMEOUT_SECONDS", 0.0):
         for _ in range(160):
-            for one in fleet:
-                spent += await _spend(one, tokens, 1000)
+            for instance in fleet:
+                spent += await _spend(instance, tokens, 1000)
             time.now += 0.05
     return spent
 
 
-async def _spend(found: quotas.Quotas, tokens: int, times: int) -> int:
+async def _spend(quota: quotas.Quotas, tokens: int, times: int) -> int:
     spent = 0
     for _ in range(times):
         try:
-            await found.take(TEAM, Facts(tokens))
+            await quota.take(TEAM, Facts(tokens))
         except exceptions.LimitReached as error:
             assert error.retry_after_ms >= 200
             break
@@ -110,49 +110,48 @@
 
 
 def test_repeats_of_all_instances_stay_under_the_fleets_budget(time) -> None:
-    """Servers shed for ten seconds; each of nine instances repeats all it may."""
-    nine = [budgets.RetryBudget(_settings(), lambda: 9) for _ in range(9)]
-    repeats = 0
+    """Servers shed for ten seconds, and each of nine instances retries to its limit."""
+    budgets_of_nine = [budgets.RetryBudget(_settings(), lambda: 9) for _ in range(9)]
+    retries = 0
     for _ in range(100):
         time.now += 0.1
-        for one in nine:
-            one.count("chat")
-            while one.take("chat"):
-                repeats += 1
-    assert 0 < repeats <= 0.2 * 900 + 50
+        for budget in budgets_of_nine:
+            budget.count("chat")
+            while budget.take("chat"):
+                retries += 1
+    assert 0 < retries <= 0.2 * 900 + 50
 
 
-def test_a_budget_comes_back_with_its_window(time) -> None:
-    one = budgets.RetryBudget(_settings(), lambda: 1)
+def test_a_budget_is_available_again_after_its_window(time) -> None:
+    budget = budgets.RetryBudget(_settings(), lambda: 1)
     first = 0
-    while one.take("chat"):
+    while budget.take("chat"):
         first += 1
     assert first == 40
     time.now += 10.1
-    assert one.take("chat")
+    assert budget.take("chat")
 
 
 def test_a_restarted_instance_does_not_spend_a_second_budget(time) -> None:
-    """All processes are killed at once, after they had spent the fixed part.
+    """All processes are killed at once after they have spent the fixed part.
 
-    What they spent is still in the window; the new ones know nothing of it.
+    Their retries are still in the window, but the new processes have no record of them.
     """
-    one = budgets.RetryBudget(_settings(first_start=False), lambda: 1)
-    assert not one.take("chat")
+    budget = budgets.RetryBudget(_settings(first_start=False), lambda: 1)
+    assert not budget.take("chat")
     time.now += 5.0
-    again = 0
-    while one.take("chat"):
-        again += 1
-    assert 0 < again <= 20
+    later = 0
+    while budget.take("chat"):
+        later += 1
+    assert 0 < later <= 20
 
 
 @pytest.mark.parametrize("parts", [1, 3, 9])
 def test_a_limit_holds_in_any_partition(time, parts: int) -> None:
-    """A team floods nine instances that are split into so many parts.
+    """A team overloads nine instances in one, three or nine partitions.
 
-    Each part has a keeper of the limit that cannot know of the others. All instances
-    spend what they can in one window; the sum stays under the fleet's bound, and the
-    limit itself can be used.
+    Each partition has its own keeper of the limit. All instances spend as much as they
+    can in one window; the sum stays under the fleet's bound and uses most of it.
     """
     heard = 9 // parts
 
@@ -162,8 +161,8 @@
             keeping = Members("cq-1", [])
             keeping.heard = heard
             fleet.append(_quotas(keeping))
-            # The other instances of the part: their own shares, and no more, since
-            # the keeper gives all of the rest.
+            # The other instances of the partition spend only their own shares, since
+            # the keeper's own requests use up its part.
             for _ in range(heard - 1):
                 fleet.append(_quotas(Members("cq-0", [])))
         spent = await _spend_window(time, fleet, 5)
@@ -174,9 +173,9 @@
 
 
 def test_a_keeper_counts_what_it_may_have_spent_before(time) -> None:
-    """All processes die and start again within one window of a flooding team.
+    """All processes restart within one window while a team overloads the fleet.
 
-    Without a memory each would let the team run its whole limit a second time.
+    If a new process assumed an unused limit, the team could spend it a second time.
     """
 
     async def run() -> None:
@@ -191,84 +190,85 @@
     asyncio.run(run())
 
 
-def test_a_keeper_that_lost_its_role_forgets_what_it_gave(time) -> None:
-    """The role goes to another instance and comes back within one window.
+def test_a_keeper_that_regains_its_role_counts_the_limit_as_spent(time) -> None:
+    """The role moves to another instance and back within one window.
 
-    What the other one gave meanwhile is unknown here and counts as given.
+    Grants of the other keeper are unknown here, so the limit counts as spent.
     """
 
     async def run() -> None:
         members = Members("cq-1", [])
-        found = _quotas(members, first_start=False)
+        quota = _quotas(members, first_start=False)
         time.now += 20.0
-        await _spend(found, 20, 1000)
+        await _spend(quota, 20, 1000)
         members.move("cq-2")
         members.move("cq-1")
         query = messages.QuotaQuery(1, "blue", 20)
-        asking = fakes.Owner("cq-3")
-        found._on_query(asking, query)
-        # The keeper's part of the rate, from nothing: 0.35 of the bound is the depth.
+        querying = fakes.Owner("cq-3")
+        quota._on_query(querying, query)
+        # The rate of the keeper's part, from an empty bucket; 0.35 of the bound is its
+        # depth.
         rate = 0.65 * 0.9 * BOUND / 9.0
         wait_ms = math.ceil(1000.0 * 20 / (rate * 0.7))
-        assert asking.sent == [messages.QuotaAnswer(1, 0, wait_ms)]
+        assert querying.sent == [messages.QuotaAnswer(1, 0, wait_ms)]
         time.now += 9.5
-        found._on_query(asking, query)
-        assert asking.sent[-1] == messages.QuotaAnswer(1, 20)
+        quota._on_query(querying, query)
+        assert querying.sent[-1] == messages.QuotaAnswer(1, 20)
 
     asyncio.run(run())
 
 
-def test_a_silent_keeper_costs_a_moment(time) -> None:
-    """The limit's keeper is paused: its link is open and nothing comes back."""
+def test_a_silent_keeper_delays_a_request_by_a_bounded_time(time) -> None:
+    """The limit's keeper is paused: its link is open, but it sends no answers."""
 
     async def run() -> None:
         members = Members("cq-2", [fakes.Owner("cq-2")])
-        found = _quotas(members)
-        assert await _spend(found, 20, 1000) > 0
+        quota = _quotas(members)
+        assert await _spend(quota, 20, 1000) > 0
         with pytest.raises(exceptions.LimitReached):
-            await found.take(TEAM, Facts(20))
-        assert not found._pending_queries
+            await quota.take(TEAM, Facts(20))
+        assert not quota._pending_queries
 
     asyncio.run(run())
 
 
-def test_the_first_question_to_a_keeper_waits_for_its_connection(time) -> None:
-    """A request is beyond its instance's own share; nobody has asked this keeper yet.
+def test_the_first_query_to_a_keeper_waits_for_its_connection(time) -> None:
+    """A request exceeds its instance's own share, and no link to the keeper is open.
 
-    The connection is being dialled. Refused now, the caller would be away for seconds
-    though the keeper has all of its rest to give.
+    The connection is being opened. If the request were refused now, the caller would
+    back off for seconds although the keeper could grant its units.
     """
 
     class Dialling(Members):
         def link(self, instance: str) -> None:
-            """Have no connection yet."""
+            """Return None: the connection is still being opened."""
 
     async def run() -> None:
-        found = _quotas(Dialling("cq-2", []))
-        await _spend_own(found)
-        asked = asyncio.create_task(found.take(TEAM, Facts(20)))
+        quota = _quotas(Dialling("cq-2", []))
+        await _spend_own(quota)
+        taking = asyncio.create_task(quota.take(TEAM, Facts(20)))
         await asyncio.sleep(0.0)
         keeper = fakes.Owner("cq-2")
-        found._on_link_up(keeper)
+        quota._on_link_up(keeper)
         query = keeper.sent[0]
         assert (query.team, query.units) == ("blue", 20)
-        found._on_answer(keeper, messages.QuotaAnswer(query.number, 20))
-        await asked
+        quota._on_answer(keeper, messages.QuotaAnswer(query.number, 20))
+        await taking
 
     asyncio.run(run())
 
 
-async def _spend_own(found: quotas.Quotas) -> None:
-    """Spend an instance's own share."""
-    flow = found._flow(QUOTA).part(quotas.OWN_SHARE / 9)
-    await found.take(TEAM, Facts(int(flow.depth)))
+async def _spend_own(quota: quotas.Quotas) -> None:
+    """Spend an instance's whole own share."""
+    flow = quota._flow(QUOTA).part(quotas.OWN_SHARE / 9)
+    await quota.take(TEAM, Facts(int(flow.depth)))
 
 
-def test_a_large_fleet_strands_little_of_a_limit(time) -> None:
-    """Ninety instances, and requests that are each larger than a ninetieth.
+def test_a_large_fleet_can_use_most_of_a_limit(time) -> None:
+    """Ninety instances, and requests larger than a ninetieth of the limit.
 
-    Split evenly, no instance could spend its share and the team would get less than
-    half of what it may; the keeper gives it most of it.
+    With equal shares no instance could spend its share, and the team would get less
+    than half of its limit. The keeper must grant most of it.
     """
 
     class Many(Members):
@@ -288,71 +288,71 @@
     asyncio.run(run())
 
 
-def test_requests_count_their_tokens(time) -> None:
+def test_requests_take_units_by_their_tokens(time) -> None:
     assert quotas.units_of(QUOTA, Facts(50)) == 50
     assert quotas.units_of(QUOTA, Facts(0)) == 10
     assert quotas.units_of(QUOTA._replace(counts_tokens=False), Facts(50)) == 1
 
 
-def test_the_silent_count_as_sharers_for_a_while(time) -> None:
-    """Half of the fleet falls silent: cut off, it may go on spending its part."""
-    found = budget_peers.BudgetPeers()
-    assert found.count(8) == 8
+def test_unreachable_instances_count_as_sharers_for_a_while(time) -> None:
+    """Half of the fleet becomes unreachable and may still spend its part."""
+    peers = budget_peers.BudgetPeers()
+    assert peers.count(8) == 8
     time.now += 30.0
-    assert found.count(4) == 8
+    assert peers.count(4) == 8
     time.now += 31.0
-    assert found.count(4) == 4
+    assert peers.count(4) == 4
 
 
-def test_what_was_refused_for_want_of_a_slot_does_not_use_up_a_limit(time) -> None:
-    """All slots are taken for a second, and every request of a team is refused.
+def test_requests_shed_for_lack_of_a_slot_do_not_use_up_a_limit(time) -> None:
+    """All slots are taken for a second, and every request of a team is shed.
 
-    The team stays below its limit, and its callers come back when there are slots.
-    Counted though they never ran, the refused ones would have used the limit up.
+    The team stays below its limit, and its callers retry when slots are free. If shed
+    requests counted although they never ran, they would have used up the limit.
     """
 
     async def run() -> None:
-        found = _quotas(Members("cq-1", []))
+        quota = _quotas(Members("cq-1", []))
         for _ in range(400):
-            taken = await found.take(TEAM, Facts(20))
+            taken = await quota.take(TEAM, Facts(20))
             assert taken is not None
-            found.give_back(taken)
+            quota.give_back(taken)
         untouched = await _spend(_quotas(Members("cq-1", [])), 20, 1000)
-        assert await _spend(found, 20, 1000) == untouched > 0
+        assert await _spend(quota, 20, 1000) == untouched > 0
 
     asyncio.run(run())
 
 
-def test_the_keeper_of_a_limit_takes_back_what_it_gave_once(time) -> None:
-    """An instance returns what the keeper gave, and the message comes twice.
+def test_the_keeper_of_a_limit_accepts_the_return_of_a_grant_once(time) -> None:
+    """An instance returns the units of a grant, and the message arrives twice.
 
-    Room that nobody gave would let the team pass its limit, so the second one, one of
-    another instance and one for a question that was never answered count for nothing.
+    Units that were never granted would let the team exceed its limit. So the keeper
+    ignores the duplicate, a return by another instance and one for an unknown query.
     """
 
     async def run() -> None:
-        found = _quotas(Members("cq-1", []))
-        asking = fakes.Owner("cq-3")
+        quota = _quotas(Members("cq-1", []))
+        querying = fakes.Owner("cq-3")
         for number in range(1, 1000):
-            found._on_query(asking, messages.QuotaQuery(number, "blue", 20))
-            if not asking.sent[-1].units:
+            quota._on_query(querying, messages.QuotaQuery(number, "blue", 20))
+            if not querying.sent[-1].units:
                 break
-        last = asking.sent[-2].number
-        found._on_return(fakes.Owner("cq-4"), messages.QuotaReturn(last))
-        found._on_return(asking, messages.QuotaReturn(5000))
-        found._on_query(asking, messages.QuotaQuery(1001, "blue", 20))
-        assert not asking.sent[-1].units
+        last = querying.sent[-2].number
+        quota._on_return(fakes.Owner("cq-4"), messages.QuotaReturn(last))
+        quota._on_return(querying, messages.QuotaReturn(5000))
+        quota._on_query(querying, messages.QuotaQuery(1001, "blue", 20))
+        assert not querying.sent[-1].units
         for _ in range(2):
-            found._on_return(asking, messages.QuotaReturn(last))
-        found._on_query(asking, messages.QuotaQuery(1002, "blue", 20))
-        assert asking.sent[-1].units == 20
-        found._on_query(asking, messages.QuotaQuery(1003, "blue", 20))
-        assert not asking.sent[-1].units
+            quota._on_return(querying, messages.QuotaReturn(last))
+        quota._on_query(querying, messages.QuotaQuery(1002, "blue", 20))
+        assert querying.sent[-1].units == 20
+        quota._on_query(querying, messages.QuotaQuery(1003, "blue", 20))
+        assert not querying.sent[-1].units
 
     asyncio.run(run())
 
 
-def test_an_instance_returns_what_a_keeper_gave_it(time) -> None:
+def test_an_instance_returns_units_to_the_keeper_that_granted_them(time) -> None:
     class Linked(Members):
         def link(self, instance: str) -> fakes.Owner:
             """Return the keeper's link."""
@@ -361,15 +361,15 @@
     keeper = fakes.Owner("cq-2")
 
     async def run() -> None:
-        found = _quotas(Linked("cq-2", []))
-        await _spend_own(found)
+        quota = _quotas(Linked("cq-2", []))
+        await _spend_own(quota)
         keeper.sent.clear()
-        asked = asyncio.create_task(found.take(TEAM, Facts(20)))
+        taking = asyncio.create_task(quota.take(TEAM, Facts(20)))
         await asyncio.sleep(0.0)
         number = keeper.sent[0].number
-        found._on_answer(keeper, messages.QuotaAnswer(number, 20))
-        taken = await asked
-        found.give_back(taken)
+        quota._on_answer(keeper, messages.QuotaAnswer(number, 20))
+        taken = await taking
+        quota.give_back(taken)
         assert keeper.sent[-1] == messages.QuotaReturn(number)
 
     asyncio.run(run())
--- a/tests/test_owner_schedules.py
+++ b/tests/test_owner_schedules.py
@@ -1,8 +1,8 @@
-"""Generated schedules of faults against one owner, with replayable seeds.
+"""Generated schedules of faults against one owner, with reproducible results.
 
-Hypothesis chooses what callers, keepers, servers and the clock do next; after each
-step the promises are checked. The choice is fixed, so the verdict is the same in every
-run; a failing schedule is printed as a program that can be run again.
+Hypothesis chooses the next action of callers, keepers, servers and the clock; after
+each step the owner's guarantees are checked. The choices are derandomized, so every run
+gives the same result; a failing schedule is printed as a program that reproduces it.
 """
 
 import asyncio
@@ -18,56 +18,56 @@
 TIERS = strategies.sampled_from(["urgent", "standard", "background"])
 SERVICES = strategies.sampled_from(["tutor", "finishing", "bookings"])
 ENDS = strategies.sampled_from(["complete", "cut", "rejected", "declined"])
-# Shorter than the grace time, longer than it, longer than the token and all that is
-# kept after it; each also stands for a pause of the process.
+# Shorter than the disconnect grace, longer than it, and longer than the lifetime of a
+# token and of entries and closed ids; each also models a pause of the process.
 PAUSES = strategies.sampled_from([0.5, 3.0, 30.0, 70.0, 200.0])
-MOST_WAITING = 3
+MAX_WAITING = 3
 
 
 class Schedule(stateful.RuleBasedStateMachine):
-    """One owner under an arbitrary order of events."""
+    """One owner and an arbitrary order of events."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.real = clock.now
+        self.real_now = clock.now
         self.offset = 0.0
-        clock.now = lambda: self.real() + self.offset
+        clock.now = lambda: self.real_now() + self.offset
         self.loop = asyncio.new_event_loop()
         self.run(self._start())
 
     def run(self, work):
-        return self.loop.run_until_complete(self._settled(work))
+        return self.loop.run_until_complete(self._run_pending(work))
 
-    async def _settled(self, work):
-        found = await work
+    async def _run_pending(self, work):
+        result = await work
         for _ in range(30):
             await asyncio.sleep(0)
-        return found
+        return result
 
     async def _start(self) -> None:
-        self.bench = owner_fakes.Bench(max_waiting=MOST_WAITING, max_closed=6)
+        self.bench = owner_fakes.Bench(max_waiting=MAX_WAITING, max_closed=6)
         self.bench.servers.script = [self._serve]
-        self.names = []
+        self.request_ids = []
         self.bodies = {}
-        self.read = []
-        self.gates = []
-        self.unwanted: list[str] = []
+        self.attached_entries = []
+        self.unfinished = []
+        self.dispatched_without_caller: list[str] = []
         self.not_run: set[str] = set()
 
     async def _serve(self, answer) -> None:
-        gate = self.loop.create_future()
+        finish = self.loop.create_future()
         key = self.bench.servers.seen[-1]
-        self.gates.append(gate)
+        self.unfinished.append(finish)
         entry = self.bench.owner.table[key.rpartition("~")[0]]
         if not entry.readers or clock.now() >= entry.deadline:
-            self.unwanted.append(key)
+            self.dispatched_without_caller.append(key)
         try:
-            end = await gate
+            end = await finish
         finally:
-            if gate in self.gates:
-                self.gates.remove(gate)
+            if finish in self.unfinished:
+                self.unfinished.remove(finish)
         if end == "declined":
-            # A server that declines does not run the request.
+            # A server that declines a request does not run it.
             self.bench.servers.seen.remove(key)
             raise exceptions.Declined(key)
         answer.append(key.encode())
@@ -76,87 +76,87 @@
         if end == "rejected":
             raise exceptions.Rejected(key)
 
-    async def _submit(self, name) -> None:
+    async def _submit(self, request_id) -> None:
         try:
-            entry = self.bench.submit(name, **self.bodies[name])
-            self.read.append(entry)
+            entry = self.bench.submit(request_id, **self.bodies[request_id])
+            self.attached_entries.append(entry)
         except exceptions.Refusal as refusal:
-            self._told(name, refusal.outcome)
+            self._record_outcome(request_id, refusal.outcome)
 
-    def _told(self, name, outcome: str) -> None:
+    def _record_outcome(self, request_id, outcome: str) -> None:
         if outcome == "not_run":
-            self.not_run.add(name.text)
+            self.not_run.add(request_id.text)
 
     @stateful.rule(tier=TIERS, service=SERVICES)
     def send(self, tier, service) -> None:
-        name = self.bench.new_id()
-        self.names.append(name)
-        self.bodies[name] = {"tier": tier, "service": service}
-        self.run(self._submit(name))
+        request_id = self.bench.new_id()
+        self.request_ids.append(request_id)
+        self.bodies[request_id] = {"tier": tier, "service": service}
+        self.run(self._submit(request_id))
 
     @stateful.rule()
-    def hold_back(self) -> None:
-        name = self.bench.new_id()
-        self.names.append(name)
-        self.bodies[name] = {}
+    def reserve_id(self) -> None:
+        request_id = self.bench.new_id()
+        self.request_ids.append(request_id)
+        self.bodies[request_id] = {}
 
-    @stateful.precondition(lambda self: self.names)
+    @stateful.precondition(lambda self: self.request_ids)
     @stateful.rule(data=strategies.data())
     def copy(self, data) -> None:
-        self.run(self._submit(data.draw(strategies.sampled_from(self.names))))
+        self.run(self._submit(data.draw(strategies.sampled_from(self.request_ids))))
 
-    @stateful.precondition(lambda self: self.names)
+    @stateful.precondition(lambda self: self.request_ids)
     @stateful.rule(data=strategies.data())
     def cancel(self, data) -> None:
-        name = data.draw(strategies.sampled_from(self.names))
+        request_id = data.draw(strategies.sampled_from(self.request_ids))
 
         async def work() -> None:
             try:
-                told = await self.bench.owner.cancel(name, "questions")
+                status = await self.bench.owner.cancel(request_id, "questions")
             except exceptions.Refusal as refusal:
-                self._told(name, refusal.outcome)
+                self._record_outcome(request_id, refusal.outcome)
             else:
-                self._told(name, told.outcome)
+                self._record_outcome(request_id, status.outcome)
 
         self.run(work())
 
-    @stateful.precondition(lambda self: self.names)
+    @stateful.precondition(lambda self: self.request_ids)
     @stateful.rule(data=strategies.data())
     def acknowledge(self, data) -> None:
-        name = data.draw(strategies.sampled_from(self.names))
+        request_id = data.draw(strategies.sampled_from(self.request_ids))
 
         async def work() -> None:
             try:
-                self.bench.owner.acknowledge(name, "questions")
+                self.bench.owner.acknowledge(request_id, "questions")
             except exceptions.Refusal as refusal:
-                self._told(name, refusal.outcome)
+                self._record_outcome(request_id, refusal.outcome)
 
         self.run(work())
 
-    @stateful.precondition(lambda self: self.read)
+    @stateful.precondition(lambda self: self.attached_entries)
     @stateful.rule(data=strategies.data(), delivered=strategies.booleans())
-    def hang_up(self, data, delivered) -> None:
-        entry = data.draw(strategies.sampled_from(self.read))
-        self.read.remove(entry)
+    def disconnect(self, data, delivered) -> None:
+        entry = data.draw(strategies.sampled_from(self.attached_entries))
+        self.attached_entries.remove(entry)
 
         async def work() -> None:
             self.bench.owner.detach(entry, delivered and entry.ended)
 
         self.run(work())
 
-    @stateful.precondition(lambda self: self.gates)
+    @stateful.precondition(lambda self: self.unfinished)
     @stateful.rule(data=strategies.data(), end=ENDS)
     def end(self, data, end) -> None:
-        gate = data.draw(strategies.sampled_from(list(self.gates)))
+        finish = data.draw(strategies.sampled_from(list(self.unfinished)))
 
         async def work() -> None:
-            if not gate.done():
-                gate.set_result(end)
+            if not finish.done():
+                finish.set_result(end)
 
         self.run(work())
 
     @stateful.rule(is_open=strategies.booleans())
-    def keep(self, is_open) -> None:
+    def switch_keepers(self, is_open) -> None:
         keepers = self.bench.keepers
 
         async def work() -> None:
@@ -168,7 +168,7 @@
         self.run(work())
 
     @stateful.rule(is_slow=strategies.booleans())
-    def connect(self, is_slow) -> None:
+    def switch_connecting(self, is_slow) -> None:
         servers = self.bench.servers
 
         async def work() -> None:
@@ -191,32 +191,32 @@
         self.run(work())
 
     @stateful.invariant()
-    def nothing_is_dispatched_twice(self) -> None:
+    def no_request_is_dispatched_twice(self) -> None:
         seen = self.bench.servers.seen
         assert len(seen) == len(set(seen))
 
     @stateful.invariant()
-    def nothing_is_dispatched_for_nobody(self) -> None:
-        assert not self.unwanted
+    def no_request_is_dispatched_without_a_caller(self) -> None:
+        assert not self.dispatched_without_caller
 
     @stateful.invariant()
-    def not_run_did_not_run(self) -> None:
+    def requests_reported_as_not_run_did_not_run(self) -> None:
         for entry in self.bench.owner.table.values():
             if entry.status.outcome == "not_run":
                 self.not_run.add(entry.accepted.id.text)
         ran = {key.rpartition("~")[0] for key in self.bench.servers.seen}
         assert not ran & self.not_run
-        for name in self.names:
-            if name.text not in self.not_run:
+        for request_id in self.request_ids:
+            if request_id.text not in self.not_run:
                 continue
             try:
-                told = self.bench.owner.outcome(name, "questions")
+                status = self.bench.owner.outcome(request_id, "questions")
             except exceptions.TokenExpired:
                 continue
-            assert told.outcome == "not_run"
+            assert status.outcome == "not_run"
 
     @stateful.invariant()
-    def answers_are_their_own(self) -> None:
+    def answers_belong_to_their_request(self) -> None:
         for entry in self.bench.owner.table.values():
             chunk, _ = entry.answer.chunk(0)
             for line in chunk.splitlines():
@@ -224,8 +224,8 @@
                     assert line == b"data: " + entry.accepted.call.key.encode()
 
     @stateful.invariant()
-    def bounds_hold(self) -> None:
-        assert self.bench.owner.request_table.waiting_count <= MOST_WAITING
+    def table_stays_within_its_bounds(self) -> None:
+        assert self.bench.owner.request_table.waiting_count <= MAX_WAITING
         assert len(self.bench.owner.request_table.closed) <= 6
         waiting = [
             entry
@@ -235,7 +235,7 @@
         assert len(waiting) == self.bench.owner.request_table.waiting_count
 
     def teardown(self) -> None:
-        clock.now = self.real
+        clock.now = self.real_now
         tasks = asyncio.all_tasks(self.loop)
 
         async def stop() -> None:
@@ -247,7 +247,7 @@
         self.loop.close()
 
 
-REPEATABLE = hypothesis.settings(
+DERANDOMIZED = hypothesis.settings(
     derandomize=True,
     deadline=None,
     max_examples=150,
@@ -255,34 +255,34 @@
     print_blob=True,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
-FIND_ONLY = hypothesis.settings(
-    REPEATABLE, phases=[hypothesis.Phase.generate], max_examples=300
+GENERATE_ONLY = hypothesis.settings(
+    DERANDOMIZED, phases=[hypothesis.Phase.generate], max_examples=300
 )
 
 
-def _nothing(*_: object) -> None:
+def _do_nothing(*_: object) -> None:
     return None
 
 
 MUTANTS = {
-    "closed ids are forgotten": (table.Table, "close_id"),
-    "an owner sends without a last look": (
+    "closed ids are not kept": (table.Table, "close_id"),
+    "an owner sends without a final check": (
         dispatching.Dispatcher,
         "_check_before_sending",
     ),
-    "a dispatch is not noted": (table.Table, "dispatched"),
+    "a dispatch is not recorded": (table.Table, "dispatched"),
     "closed ids are not looked up": (tombstones.Tombstones, "find"),
 }
 
 
 def test_no_schedule_breaks_a_promise():
-    stateful.run_state_machine_as_test(Schedule, settings=REPEATABLE)
+    stateful.run_state_machine_as_test(Schedule, settings=DERANDOMIZED)
 
 
-@pytest.mark.parametrize("name", MUTANTS)
-def test_schedules_find_an_owner_that_lacks_a_rule(monkeypatch, name):
-    """Some schedule breaks a promise when one of the owner's rules is taken out."""
-    kind, method = MUTANTS[name]
-    monkeypatch.setattr(kind, method, _nothing)
+@pytest.mark.parametrize("rule", MUTANTS)
+def test_schedules_detect_an_owner_without_one_of_its_rules(monkeypatch, rule):
+    """Some schedule violates a guarantee when one of the owner's rules is disabled."""
+    kind, method = MUTANTS[rule]
+    monkeypatch.setattr(kind, method, _do_nothing)
     with pytest.raises(AssertionError):
-        stateful.run_state_machine_as_test(Schedule, settings=FIND_ONLY)
+        stateful.run_state_machine_as_test(Schedule, settings=GENERATE_ONLY)
--- a/tests/test_ownership_model.py
+++ b/tests/test_ownership_model.py
@@ -1,4 +1,4 @@
-"""The ownership rules keep the promises in every state, and each rule is needed."""
+"""Model check: the ownership rules are sufficient, and each one is necessary."""
 
 import pytest
 
@@ -6,14 +6,14 @@
 
 
 def test_all_states_keep_the_promises() -> None:
-    found = ownership_model.Ownership().check()
-    assert found.violation is None, found.violation
-    # All of them, not the few that a model with a step missing would reach.
-    assert found.states == 340
+    result = ownership_model.Ownership().check()
+    assert result.violation is None, result.violation
+    # Guards against a model that lacks a step and reaches only a few states.
+    assert result.states == 340
 
 
 @pytest.mark.parametrize("rule", ownership_model.RULES)
 def test_each_rule_is_needed(rule: str) -> None:
-    found = ownership_model.Ownership(without=rule).check()
-    assert found.violation is not None
-    assert found.violation.trace
+    result = ownership_model.Ownership(without=rule).check()
+    assert result.violation is not None
+    assert result.violation.trace
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -1,4 +1,4 @@
-"""A process that was paused does not act on what it knew before."""
+"""A process that was paused must not act on state from before the pause."""
 
 import asyncio
 
@@ -18,17 +18,17 @@
 
 
 class Clock:
-    """A clock that jumps as the clock of a woken process does."""
+    """A clock that can jump ahead, as seen by a process after a pause."""
 
     def __init__(self) -> None:
-        self.slept = 0.0
+        self.paused_seconds = 0.0
 
     def now(self) -> float:
-        return clock.now() + self.slept
+        return clock.now() + self.paused_seconds
 
 
 class Collector:
-    """Stands for the link to an owner."""
+    """Replaces the link to an owner; collects the messages sent."""
 
     instance = "cq-2"
 
@@ -51,44 +51,44 @@
 
 
 def _demand(number: int) -> messages.Demand:
-    name = f"cq-2.{'b' * 12}.60000.{'0' * 16}~{number}"
+    request_id = f"cq-2.{'b' * 12}.60000.{'0' * 16}~{number}"
     service = fleets.deployments.BRINDLEY.plain_service
     return messages.Demand(
-        name, "plain#0", service, "feedback", 0, 0, 1, 9000, "", [], []
+        request_id, "plain#0", service, "feedback", 0, 0, 1, 9000, "", [], []
     )
 
 
-def test_a_woken_keeper_grants_nothing_before_it_is_renewed() -> None:
-    """A caller's request is not put on an engine that others have filled meanwhile.
+def test_a_keeper_grants_nothing_after_a_pause_until_renewed() -> None:
+    """A keeper must not grant capacity that another keeper has granted meanwhile.
 
-    The keeper sleeps through all leases and wakes up with a demand in its hands. It
-    drops that, which its owner has long told elsewhere, and grants what the owner
-    tells again only after the renewal and after the owners could tell what is out.
+    The keeper is paused for longer than all leases with a demand in its queue. It drops
+    the demand, which the owner has sent to another keeper. It grants a repeated demand
+    only after the process is renewed and the owners had time to renew their leases.
     """
 
     async def run() -> None:
-        watch = Clock()
-        pauses = pause.Pauses(pause.shortest_lease(SETTINGS), watch.now)
-        kept = _keeper(pauses)
-        owning = Collector()
-        kept.demand(owning, _demand(1))
-        task = asyncio.create_task(kept.tick())
-        await light.until(lambda: len(owning.messages) == 1, 10)
-        watch.slept = 60.0
-        kept.demand(owning, _demand(2))
+        jumping_clock = Clock()
+        pauses = pause.Pauses(pause.shortest_lease(SETTINGS), jumping_clock.now)
+        local_keeper = _keeper(pauses)
+        owner_link = Collector()
+        local_keeper.demand(owner_link, _demand(1))
+        task = asyncio.create_task(local_keeper.tick())
+        await light.until(lambda: len(owner_link.messages) == 1, 10)
+        jumping_clock.paused_seconds = 60.0
+        local_keeper.demand(owner_link, _demand(2))
         await asyncio.sleep(0.3)
-        assert len(owning.messages) == 1
+        assert len(owner_link.messages) == 1
         pauses.renewed()
-        assert not kept.shards["plain#0"].is_open
-        kept.demand(owning, _demand(2))
-        await light.until(lambda: len(owning.messages) == 2, 10)
+        assert not local_keeper.shards["plain#0"].is_open
+        local_keeper.demand(owner_link, _demand(2))
+        await light.until(lambda: len(owner_link.messages) == 2, 10)
         task.cancel()
 
     asyncio.run(run())
 
 
-class _Fake:
-    """A backend server's protocol that notes what is sent."""
+class _RecordingBackend:
+    """A backend protocol that records the dispatched requests."""
 
     can_stop = False
     sent: list[str] = []
@@ -111,11 +111,11 @@
         return None
 
 
-backends.backends.register("noting")(_Fake)
+backends.backends.register("noting")(_RecordingBackend)
 
 
-class _Granting(demands.Demands):
-    """Gives each demand a permit at once."""
+class _GrantingDemands(demands.Demands):
+    """Grants each demand after 10 ms."""
 
     async def obtain(
         self, demand: messages.Demand, deadline: float
@@ -124,81 +124,81 @@
         return demands.Permission("bookings-1", clock.now() + 60.0, "bookings#0")
 
 
-def test_a_woken_owner_sends_nothing_before_it_is_renewed() -> None:
-    """A request waits while its owner, woken from a pause, learns what is true.
+def test_an_owner_sends_nothing_after_a_pause_until_renewed() -> None:
+    """After a pause, an owner dispatches only once its process is renewed.
 
-    The owner holds a permit, sleeps, and wakes up right before the first byte. It
-    sends nothing; after the renewal the request runs once.
+    The owner holds a permit and is paused right before the first byte. It sends nothing
+    before the renewal; after it, the request runs once.
     """
 
     async def run() -> None:
-        watch = Clock()
-        pauses = pause.Pauses(pause.shortest_lease(SETTINGS), watch.now)
+        jumping_clock = Clock()
+        pauses = pause.Pauses(pause.shortest_lease(SETTINGS), jumping_clock.now)
         links = peers.Peers(SETTINGS, "a" * 12)
-        kept = _keeper(pauses)
+        local_keeper = _keeper(pauses)
         membership = members.Membership(
             SETTINGS, "a" * 12, links, str, lambda: (0.0, 1)
         )
-        asked = _Granting(SETTINGS, links, membership, kept)
+        granting = _GrantingDemands(SETTINGS, links, membership, local_keeper)
         async with aiohttp.ClientSession() as http:
-            owned = owner.Owner(
-                SETTINGS, "a" * 12, http, asked, lambda name: False, str
+            local_owner = owner.Owner(
+                SETTINGS, "a" * 12, http, granting, lambda server: False, str
             )
-            owned.use_pauses(pauses)
+            local_owner.use_pauses(pauses)
             configured = configuration.Configuration(SETTINGS, links)
             text = fleets.text(1).replace("plain-http", "noting")
             configured.accept(1, text)
             snapshot = configured.current
             assert snapshot is not None
             token = tokens.mint(light.KEY, "cq-1", "a" * 12, 60.0)
-            name = tokens.parse([light.KEY], f"{token}~x")
+            request_id = tokens.parse([light.KEY], f"{token}~x")
             service = fleets.deployments.BRINDLEY.plain_service
             body = b'{"service": "%s", "path": "/"}' % service.encode()
-            watch.slept = 60.0
-            entry = owned.submit(name, "feedback", body, snapshot)
-            owned.attach(entry)
+            jumping_clock.paused_seconds = 60.0
+            entry = local_owner.submit(request_id, "feedback", body, snapshot)
+            local_owner.attach(entry)
             await asyncio.sleep(0.3)
-            assert _Fake.sent == []
+            assert _RecordingBackend.sent == []
             assert not entry.ended
             pauses.renewed()
             await light.until(lambda: entry.ended, 10)
-            assert len(_Fake.sent) == 1
-            await owned.leave()
+            assert len(_RecordingBackend.sent) == 1
+            await local_owner.leave()
 
     asyncio.run(run())
 
 
-def test_a_short_gap_is_no_pause() -> None:
-    watch = Clock()
-    pauses = pause.Pauses(1.0, watch.now)
-    watch.slept = 0.5
+def test_a_gap_below_the_limit_is_not_a_pause() -> None:
+    jumping_clock = Clock()
+    pauses = pause.Pauses(1.0, jumping_clock.now)
+    jumping_clock.paused_seconds = 0.5
     assert pauses.current
-    watch.slept = 1.7
+    jumping_clock.paused_seconds = 1.7
     assert not pauses.current
     assert pauses.count == 1
 
 
 def test_requests_of_a_removed_pool_are_still_served() -> None:
-    """A caller whose request waits is served though its pool has just been removed.
+    """A waiting request is served although its pool has just been removed.
 
-    The request was accepted under revision 1. Revision 2 has no such pool. The keeper
-    goes on with the servers of revision 1 for what waits.
+    The request was accepted under revision 1; revision 2 has no such pool. The keeper
+    serves waiting requests with the servers of revision 1.
     """
 
     async def run() -> None:
         pauses = pause.Pauses(60.0)
-        kept = _keeper(pauses)
-        owning = Collector()
-        kept.demand(owning, _demand(1))
+        local_keeper = _keeper(pauses)
+        owner_link = Collector()
+        local_keeper.demand(owner_link, _demand(1))
         start = fleets.TEXT.index("[pools.plain]")
         end = fleets.TEXT.index("[services.tutor-assist]")
         text = fleets.TEXT[:start] + fleets.TEXT[end:]
         plain = fleets.deployments.BRINDLEY.plain_service
         text = text.replace(f'depends_on = ["{plain}"]', "")
-        assert kept._configured.accept(2, text)
-        task = asyncio.create_task(kept.tick())
-        await light.until(lambda: len(owning.messages) == 1, 10)
-        assert isinstance(owning.messages[0], messages.Permit)
+        assert local_keeper._configured.accept(2, text)
+        task = asyncio.create_task(local_keeper.tick())
+        await light.until(lambda: len(owner_link.messages) == 1, 10)
+        assert isinstance(owner_link.messages[0], messages.Permit)
         task.cancel()
 
     asyncio.run(run())
--- a/tests/test_quota_schedules.py
+++ b/tests/test_quota_schedules.py
@@ -1,8 +1,8 @@
-"""A team's limit while it floods a fleet whose instances die, part and meet again.
+"""A team's limit under overload while instances fail and partitions come and go.
 
-What the users' engines see of the team must stay under the fleet's bound in every
-window, whatever happens in between. The generated schedules are played against the
-product, and against mutants of it that each forget one safeguard: those must be found.
+In every window, the tokens of the team that reach the engines must stay under the
+fleet's bound. Generated schedules run against the daemon's code, and against mutants
+that each lack one safeguard and must be detected.
 """
 
 import asyncio
@@ -23,12 +23,12 @@
 SECONDS = 30.0
 WINDOW = 8.0
 SEEDS = range(12)
-# A mutant that none of so many schedules finds is not tested for at all.
+# A safeguard whose mutant none of these schedules detects is not covered by the test.
 MUTANT_SEEDS = range(40)
 
 
 class Link:
-    """The way from one instance to another; nothing comes through a partition."""
+    """A link from one instance to another; a partition drops its messages."""
 
     def __init__(self, fleet: "Fleet", source: str, target: str):
         self.instance = target
@@ -36,23 +36,23 @@
         self._source = source
 
     def send(self, message: messages.Message) -> bool:
-        """Deliver a message at once, or lose it."""
+        """Deliver a message at once, or drop it."""
         fleet = self._fleet
-        if not fleet.hears(self._source, self.instance):
+        if not fleet.reaches(self._source, self.instance):
             return False
-        other = fleet.quotas[self.instance]
+        target_quotas = fleet.quotas[self.instance]
         back = Link(fleet, self.instance, self._source)
         if isinstance(message, messages.QuotaQuery):
-            other._on_query(back, message)
+            target_quotas._on_query(back, message)
         elif isinstance(message, messages.QuotaReturn):
-            other._on_return(back, message)
+            target_quotas._on_return(back, message)
         else:
-            other._on_answer(back, message)
+            target_quotas._on_answer(back, message)
         return True
 
 
 class View(fakes.Membership):
-    """What one instance believes of the members."""
+    """The membership view of one instance."""
 
     def __init__(self, fleet: "Fleet", name: str):
         super().__init__(name, [])
@@ -60,37 +60,37 @@
         self._name = name
 
     def fleet_size(self) -> int:
-        """Return all that may be spending."""
+        """Return the number of instances that may spend."""
         return len(NAMES)
 
     def alive(self) -> list[str]:
-        """Return those that can be heard."""
-        return [name for name in NAMES if self._fleet.hears(self._name, name)]
+        """Return the instances that this one can reach."""
+        return [name for name in NAMES if self._fleet.reaches(self._name, name)]
 
     def keeper_of(self, key: str) -> str:
-        """Return the keeper among those that can be heard."""
+        """Return the keeper among the instances that this one can reach."""
         return rendezvous.first(key, self.alive())
 
     def link(self, instance: str) -> Link | None:
-        """Return the way to an instance."""
+        """Return a link to an instance."""
         return Link(self._fleet, self._name, instance)
 
 
 class Spent(typing.NamedTuple):
-    """Tokens of one request and when it went on its way."""
+    """Tokens of one request, and when it was let through."""
 
     at: float
     units: int
 
 
 class Fleet:
-    """Six instances, each with its own memory of the team's limit."""
+    """Six instances, each with its own state of the team's limit."""
 
     def __init__(self, time: fakes.Time, seed: int, refused_share: float = 0.0):
         self.time = time
         self.refused_share = refused_share
         self.random = random.Random(seed)
-        self.part = dict.fromkeys(NAMES, 0)
+        self.partition = dict.fromkeys(NAMES, 0)
         self.dead_until = dict.fromkeys(NAMES, -math.inf)
         self.views: dict[str, View] = {}
         self.quotas: dict[str, quotas.Quotas] = {}
@@ -99,7 +99,7 @@
             self.start(name, True)
 
     def start(self, name: str, first: bool) -> None:
-        """Start a process without a memory."""
+        """Start a process without any state."""
         self.views[name] = View(self, name)
         settings = budgets_case._settings(first_start=first)
         settings = type(settings)(
@@ -114,40 +114,40 @@
             settings, fakes.Links(), self.views[name], budgets_case.Configured()
         )
 
-    def hears(self, one: str, other: str) -> bool:
-        """Tell whether two live instances reach each other."""
-        if max(self.dead_until[one], self.dead_until[other]) > self.time.now:
+    def reaches(self, source: str, target: str) -> bool:
+        """Return whether two instances are alive and reach each other."""
+        if max(self.dead_until[source], self.dead_until[target]) > self.time.now:
             return False
-        return self.part[one] == self.part[other]
+        return self.partition[source] == self.partition[target]
 
     def step(self) -> None:
-        """Let time pass, and sometimes something happen."""
+        """Advance the clock, restart instances that are due, maybe inject a fault."""
         self.time.now += self.random.uniform(0.05, 0.6)
         is_changed = False
         for name in NAMES:
-            back_at = self.dead_until[name]
-            if math.isfinite(back_at) and back_at <= self.time.now:
+            restarts_at = self.dead_until[name]
+            if math.isfinite(restarts_at) and restarts_at <= self.time.now:
                 self.dead_until[name] = -math.inf
                 self.start(name, False)
                 is_changed = True
-        if self.happens() or is_changed:
-            self.tell()
+        if self.inject_fault() or is_changed:
+            self.notify_members_changed()
 
-    def happens(self) -> bool:
-        """Kill, part or join instances; return whether anything has happened."""
+    def inject_fault(self) -> bool:
+        """Kill, partition or reconnect instances; return whether a fault occurred."""
         roll = self.random.random()
         if roll < 0.06:
             self.kill(self.random.sample(NAMES, self.random.randint(1, 6)))
         elif roll < 0.12:
-            self.part = {name: self.random.randrange(3) for name in NAMES}
+            self.partition = {name: self.random.randrange(3) for name in NAMES}
         elif roll < 0.18:
-            self.part = dict.fromkeys(NAMES, 0)
+            self.partition = dict.fromkeys(NAMES, 0)
         else:
             return False
         return True
 
-    def tell(self) -> None:
-        """Let every live instance notice that the members have changed."""
+    def notify_members_changed(self) -> None:
+        """Notify every live instance of a membership change."""
         for name, view in self.views.items():
             if self.dead_until[name] > self.time.now:
                 continue
@@ -155,12 +155,12 @@
                 call()
 
     def kill(self, names: list[str]) -> None:
-        """Kill processes; each is back after half a second."""
+        """Kill processes; each restarts after half a second."""
         for name in names:
             self.dead_until[name] = self.time.now + 0.5
 
     async def flood(self, wait: list[float]) -> None:
-        """Let the team send to every live instance until each refuses."""
+        """Send the team's requests to each live instance until it refuses one."""
         for name in self.random.sample(NAMES, len(NAMES)):
             if self.dead_until[name] > self.time.now:
                 continue
@@ -179,10 +179,10 @@
                 self.spent.append(Spent(self.time.now + sum(wait), units))
 
 
-def play(
+def max_window_share(
     monkeypatch: pytest.MonkeyPatch, seed: int, refused_share: float = 0.0
 ) -> float:
-    """Return the most that the team got in any window, as a share of the bound."""
+    """Return the most tokens let through in any window, as a share of the bound."""
     wait: list[float] = []
 
     async def sleep(seconds: float) -> None:
@@ -202,83 +202,83 @@
         spent = asyncio.run(run(time))
     monkeypatch.undo()
     spent.sort()
-    most = inside = first = 0
-    for one in spent:
-        inside += one.units
-        while spent[first].at <= one.at - WINDOW:
-            inside -= spent[first].units
+    max_units = window_units = first = 0
+    for item in spent:
+        window_units += item.units
+        while spent[first].at <= item.at - WINDOW:
+            window_units -= spent[first].units
             first += 1
-        most = max(most, inside)
-    return most / budgets_case.BOUND
+        max_units = max(max_units, window_units)
+    return max_units / budgets_case.BOUND
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_limit_holds_whatever_happens(monkeypatch, seed: int) -> None:
-    """Instances die, start without a memory, part and meet while a team floods them.
+def test_the_limit_holds_under_faults(monkeypatch, seed: int) -> None:
+    """Instances fail, restart without state and are partitioned under overload.
 
-    Every window holds at most the fleet's bound; and the team is not starved.
+    No window exceeds the fleet's bound, and the team is not starved.
     """
-    share = play(monkeypatch, seed)
+    share = max_window_share(monkeypatch, seed)
     assert 0.3 <= share <= 1.0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_limit_holds_while_requests_are_refused_and_return_their_part(
+def test_the_limit_holds_under_faults_while_shed_requests_return_their_units(
     monkeypatch, seed: int
 ) -> None:
-    """Half of what the limit lets through finds no slot, and never runs.
+    """Half of the requests that the limit lets through get no slot and never run.
 
-    What it was given is given out again, also by keepers that died, moved or were cut
-    off meanwhile; what runs stays under the bound in every window, and the team gets
-    as much of it as when nothing is refused.
+    Their units are returned and granted again, also by keepers that have failed, moved
+    or been partitioned meanwhile. Requests that run stay under the bound in every
+    window, and the team gets as much of it as without refusals.
     """
-    share = play(monkeypatch, seed, 0.5)
+    share = max_window_share(monkeypatch, seed, 0.5)
     assert 0.3 <= share <= 1.0
 
 
-def _knows_half_of_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let each instance take its own share for one of three."""
+def _mutate_fleet_size(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Mutant: each instance computes its own share for a fleet of three."""
     monkeypatch.setattr(View, "fleet_size", lambda self: len(NAMES) // 2)
 
 
-def _forgets_the_window_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let a process that starts again take the window before for empty."""
+def _mutate_start_level(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Mutant: a restarted process assumes that the previous window was empty."""
 
-    class Trusting(buckets.Bucket):
+    class FullBucket(buckets.Bucket):
         def __init__(self, empty_at: float):
             super().__init__(-math.inf)
 
-    monkeypatch.setattr(buckets, "Bucket", Trusting)
+    monkeypatch.setattr(buckets, "Bucket", FullBucket)
 
 
-def _gives_the_whole_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the keeper of each part give out the rest of the whole fleet."""
+def _mutate_partition_share(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Mutant: the keeper in each partition grants for the whole fleet."""
     monkeypatch.setattr(View, "alive", lambda self: NAMES)
     monkeypatch.setattr(
         View,
         "keeper_of",
         lambda self, key: rendezvous.first(
-            key, [name for name in NAMES if self._fleet.hears(self._name, name)]
+            key, [name for name in NAMES if self._fleet.reaches(self._name, name)]
         ),
     )
 
 
-def _keeps_what_it_gave(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let whoever becomes the keeper trust that nobody was it before."""
+def _mutate_members_changed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Mutant: a new keeper assumes that there was no previous one."""
     monkeypatch.setattr(quotas.Quotas, "_on_members_changed", lambda self: None)
 
 
-def _takes_back_what_it_never_gave(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let whoever keeps a limit now take back what the keeper before it gave."""
+def _mutate_returns(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Mutant: a keeper accepts returns of grants that the previous keeper made."""
     take_back = quotas.Quotas._accept_return
 
-    def trusting(self, asker, message) -> None:
+    def accept_any(self, asker, message) -> None:
         if (asker, message.number) in self._returnable:
             take_back(self, asker, message)
             return
         quotas._bucket_of(self._granted, "blue", self._granted_from).put_back(90)
 
-    monkeypatch.setattr(quotas.Quotas, "_accept_return", trusting)
+    monkeypatch.setattr(quotas.Quotas, "_accept_return", accept_any)
 
     def give_back(self, taken) -> None:
         if taken.own is not None:
@@ -295,10 +295,12 @@
     monkeypatch.setattr(quotas.Quotas, "give_back", give_back)
 
 
-def test_a_keeper_that_takes_back_what_it_never_gave_is_found(monkeypatch) -> None:
+def test_a_keeper_that_accepts_returns_of_foreign_grants_is_detected(
+    monkeypatch,
+) -> None:
     for seed in MUTANT_SEEDS:
-        _takes_back_what_it_never_gave(monkeypatch)
-        if play(monkeypatch, seed, 0.5) > 1.0:
+        _mutate_returns(monkeypatch)
+        if max_window_share(monkeypatch, seed, 0.5) > 1.0:
             return
     raise AssertionError("no schedule finds the mutant")
 
@@ -306,15 +308,15 @@
 @pytest.mark.parametrize(
     "mutant",
     [
-        _knows_half_of_the_fleet,
-        _forgets_the_window_before,
-        _gives_the_whole_rest,
-        _keeps_what_it_gave,
+        _mutate_fleet_size,
+        _mutate_start_level,
+        _mutate_partition_share,
+        _mutate_members_changed,
     ],
 )
-def test_each_safeguard_is_needed(monkeypatch, mutant) -> None:
+def test_the_mutant_without_each_safeguard_is_detected(monkeypatch, mutant) -> None:
     for seed in MUTANT_SEEDS:
         mutant(monkeypatch)
-        if play(monkeypatch, seed) > 1.0:
+        if max_window_share(monkeypatch, seed) > 1.0:
             return
     raise AssertionError("no schedule finds the mutant")
