--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -96,9 +96,9 @@
             self._demands,
             self._takes_no_work,
             self._better_address,
-            gates.Checked(self._dependencies, self._limits),
+            gates.CheckedGate(self._dependencies, self._limits),
         )
-        self._owner.heed(self._pauses)
+        self._owner.use_pauses(self._pauses)
         self._membership.on_heartbeat(self._configuration.handle_heartbeat)
         self._membership.digest = lambda: self._configuration.digest
         self._configuration.on_accept(self._membership.update)
@@ -115,7 +115,7 @@
             self._membership,
             settings.gateway.first_start,
         )
-        self._owner.heed_crashes(self._crashes)
+        self._owner.use_crash_reports(self._crashes)
         self._gateway = self._passing_through()
 
     async def run(self) -> None:
@@ -227,7 +227,7 @@
                 self._pauses,
             ).run(),
             self._limits.renew(),
-            self._dependencies.ask(),
+            self._dependencies.poll(),
             self._engine_reports.read(),
             self._owner.sweep(),
         ]
--- a/tests/test_spillover.py
+++ b/tests/test_spillover.py
@@ -134,7 +134,7 @@
     pool = Pool()
     pool.fill()
     pool.told(THERE, (0, 0.0, 0.0))
-    time.now += spillover.TRUST_SECONDS + 0.05
+    time.now += spillover.REPORT_LIFETIME_SECONDS + 0.05
     pool.demand("late")
     pool.policy.serve()
     assert not pool.moved()
@@ -144,7 +144,7 @@
     pool = Pool()
     pool.fill()
     pool.told(THERE, (0, 0.0, 0.0))
-    pool.demand("tired", moves=spillover.MOST_MOVES)
+    pool.demand("tired", moves=spillover.MAX_MOVES)
     pool.policy.serve()
     assert not pool.moved()
 
@@ -153,7 +153,7 @@
     pool = Pool()
     pool.demand("first")
     pool.policy.serve()
-    pool.spillover.announce()
+    pool.spillover.report_waits()
     [told] = pool.other.sent
     assert isinstance(told, messages.Waits)
     assert told.shard == HERE
@@ -164,7 +164,7 @@
 class Local(fakes.Owner):
     """The keeper role of the instance, which keeps nothing."""
 
-    def on_ask(self, call) -> None:
+    def on_renewal_query(self, call) -> None:
         """Keep nothing."""
 
     def keeper_of(self, shard: str) -> str:
