--- a/packages/daemon/cassiaquay_daemon/adapters/backends.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/backends.py
@@ -52,7 +52,7 @@
     payload: bytes
 
 
-class Figures(typing.NamedTuple):
+class TokenUsage(typing.NamedTuple):
     """What a finished request cost, in tokens."""
 
     prompt_tokens: int
@@ -60,7 +60,7 @@
     output_tokens: int
 
 
-class Waste(typing.NamedTuple):
+class WastedTokens(typing.NamedTuple):
     """What a cancelled request had cost, in tokens."""
 
     prefilled_tokens: int
@@ -86,7 +86,7 @@
         call: Call,
         answer: answers.Answer,
         before_sending: BeforeSending,
-    ) -> Figures:
+    ) -> TokenUsage:
         """Dispatch a request and read its answer to the end.
 
         ``before_sending`` is called when a connection is there and no byte has been
@@ -95,10 +95,10 @@
 
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
-    ) -> Figures:
+    ) -> TokenUsage:
         """Read a stream that the server holds on from where ``answer`` ends."""
 
-    async def cancel(self, server: fleet.Server, key: str) -> Waste | None:
+    async def cancel(self, server: fleet.Server, key: str) -> WastedTokens | None:
         """Stop a request; return what it had cost, None where that is not known."""
 
 
@@ -154,7 +154,7 @@
         call: Call,
         answer: answers.Answer,
         before_sending: BeforeSending,
-    ) -> Figures:
+    ) -> TokenUsage:
         """Dispatch a request and read its stream, resuming it when it breaks off."""
         body = {
             "prompt": call.prompt,
@@ -186,7 +186,7 @@
 
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
-    ) -> Figures:
+    ) -> TokenUsage:
         """Read a held stream on from where ``answer`` ends."""
         request = self._http.get(
             f"http://{server.address}/v1/streams/{key}?from={answer.count}",
@@ -202,7 +202,7 @@
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             raise breaks.cut(error) from error
 
-    async def cancel(self, server: fleet.Server, key: str) -> Waste | None:
+    async def cancel(self, server: fleet.Server, key: str) -> WastedTokens | None:
         """Stop a stream."""
         timeout = aiohttp.ClientTimeout(total=CANCEL_SECONDS)
         url = f"http://{server.address}/v1/streams/{key}"
@@ -216,11 +216,11 @@
             return None
         except msgspec.DecodeError:
             return None
-        return Waste(found["prefilled_tokens"], found["generated_tokens"])
+        return WastedTokens(found["prefilled_tokens"], found["generated_tokens"])
 
     async def _resume_often(
         self, server: fleet.Server, key: str, answer: answers.Answer
-    ) -> Figures:
+    ) -> TokenUsage:
         # Reading a held stream again is no second dispatch: the engine knows the id
         # and neither prefills nor generates anew.
         kind: type[exceptions.StreamCut] = exceptions.StreamCut
@@ -248,7 +248,7 @@
         call: Call,
         answer: answers.Answer,
         before_sending: BeforeSending,
-    ) -> Figures:
+    ) -> TokenUsage:
         """Dispatch a request and keep its body as the answer's only event."""
         request = self._http.post(
             f"http://{server.address}{call.path}",
@@ -276,15 +276,15 @@
         except msgspec.DecodeError as error:
             raise exceptions.Rejected("the answer is not JSON") from error
         answer.append(body.replace(b"\n", b" ").replace(b"\r", b" "))
-        return Figures(0, 0, 1)
+        return TokenUsage(0, 0, 1)
 
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
-    ) -> Figures:
+    ) -> TokenUsage:
         """Plain services hold nothing."""
         raise exceptions.StreamMissing(key)
 
-    async def cancel(self, server: fleet.Server, key: str) -> Waste | None:
+    async def cancel(self, server: fleet.Server, key: str) -> WastedTokens | None:
         """Plain services cannot be stopped."""
         return None
 
@@ -302,7 +302,7 @@
     raise exceptions.Rejected(message)
 
 
-async def _read(response: aiohttp.ClientResponse, answer: answers.Answer) -> Figures:
+async def _read(response: aiohttp.ClientResponse, answer: answers.Answer) -> TokenUsage:
     rest = b""
     async for data in response.content.iter_any():
         blocks = (rest + data).split(b"\n\n")
@@ -318,11 +318,11 @@
     raise exceptions.StreamCut("the stream ended without its last event")
 
 
-def _figures(payload: bytes, answer: answers.Answer) -> Figures:
+def _figures(payload: bytes, answer: answers.Answer) -> TokenUsage:
     try:
         done = msgspec.json.decode(payload, type=_DoneBody)
     except msgspec.DecodeError as error:
         raise exceptions.StreamCut(str(error)) from error
     if done["count"] != answer.count:
         raise exceptions.StreamCut(f"{answer.count} events of {done['count']}")
-    return Figures(done["prompt_tokens"], done["cached_tokens"], answer.count)
+    return TokenUsage(done["prompt_tokens"], done["cached_tokens"], answer.count)
--- a/packages/daemon/cassiaquay_daemon/owners/dispatching.py
+++ b/packages/daemon/cassiaquay_daemon/owners/dispatching.py
@@ -253,12 +253,12 @@
         entry = attempt.entry
         if entry.state is entries.State.WAITING:
             return
-        figures = backends.Figures(entry.accepted.prompt_tokens, 0, 0)
+        figures = backends.TokenUsage(entry.accepted.prompt_tokens, 0, 0)
         self._release(attempt, "unknown", figures)
         self._in_background(self._stop(backend, attempt))
 
     def _release(
-        self, attempt: "_Attempt", outcome: str, figures: backends.Figures
+        self, attempt: "_Attempt", outcome: str, figures: backends.TokenUsage
     ) -> None:
         entry, demand, server, started_at = attempt
         now = clock.now()
@@ -278,7 +278,7 @@
         )
 
     async def _settle(
-        self, attempt: "_Attempt", running: "asyncio.Task[backends.Figures]"
+        self, attempt: "_Attempt", running: "asyncio.Task[backends.TokenUsage]"
     ) -> None:
         entry = attempt.entry
         outcome, code = "", ""
@@ -295,7 +295,7 @@
             self._table.settle(entry, outcome, code)
             logs.event("settled", id=entry.accepted.id.text, outcome=outcome, code=code)
         if outcome != "completed":
-            figures = backends.Figures(0, 0, 0)
+            figures = backends.TokenUsage(0, 0, 0)
         self._release(attempt, outcome or "unknown", figures)
 
     async def _stop(self, backend: backends.Backend, attempt: "_Attempt") -> None:
--- a/packages/daemon/cassiaquay_daemon/owners/entries.py
+++ b/packages/daemon/cassiaquay_daemon/owners/entries.py
@@ -63,7 +63,7 @@
         self.ended_at = 0.0
         self.server = ""
         self.shard = ""
-        self.figures = backends.Figures(accepted.prompt_tokens, 0, 0)
+        self.figures = backends.TokenUsage(accepted.prompt_tokens, 0, 0)
         self.readers = 0
         self.read = asyncio.Event()
         self.unread_since = clock.now()
--- a/tests/owner_fakes.py
+++ b/tests/owner_fakes.py
@@ -103,7 +103,7 @@
         call: backends.Call,
         answer: answers.Answer,
         before_sending: backends.BeforeSending,
-    ) -> backends.Figures:
+    ) -> backends.TokenUsage:
         if self._servers.connecting is not None:
             await self._servers.connecting.wait()
         before_sending()
@@ -111,16 +111,18 @@
         script = self._servers.script
         step = script.pop(0) if len(script) > 1 else script[0]
         await step(answer)
-        return backends.Figures(1, 0, answer.count)
+        return backends.TokenUsage(1, 0, answer.count)
 
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
-    ) -> backends.Figures:
+    ) -> backends.TokenUsage:
         raise exceptions.StreamMissing(key)
 
-    async def cancel(self, server: fleet.Server, key: str) -> backends.Waste | None:
+    async def cancel(
+        self, server: fleet.Server, key: str
+    ) -> backends.WastedTokens | None:
         self._servers.stopped.append(key)
-        return backends.Waste(7, 0)
+        return backends.WastedTokens(7, 0)
 
 
 class FakePlain(FakeEngine):
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -102,10 +102,10 @@
         call: backends.Call,
         answer: object,
         before_sending: backends.BeforeSending,
-    ) -> backends.Figures:
+    ) -> backends.TokenUsage:
         before_sending()
         self.sent.append(call.key)
-        return backends.Figures(0, 0, 0)
+        return backends.TokenUsage(0, 0, 0)
 
     async def cancel(self, server: object, key: str) -> None:
         return None
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -245,14 +245,14 @@
             prefilled = asyncio.Event()
             calls = []
 
-            async def resume(self, server, key, answer) -> backends.Figures:
+            async def resume(self, server, key, answer) -> backends.TokenUsage:
                 calls.append(server.name)
                 if server.name != "e-2":
                     raise exceptions.StreamMissing(key)
                 answer.open()
                 await prefilled.wait()
                 answer.append(b'{"text":"a"}')
-                return backends.Figures(1, 0, 1)
+                return backends.TokenUsage(1, 0, 1)
 
             monkeypatch.setattr(owner_fakes.FakeEngine, "resume", resume)
             name = bench.new_id()
@@ -283,10 +283,10 @@
                 await finish.wait()
                 answer.append(b'{"text":"a"}')
 
-            async def resume(self, server, key, answer) -> backends.Figures:
+            async def resume(self, server, key, answer) -> backends.TokenUsage:
                 answer.open()
                 await late(answer)
-                return backends.Figures(1, 0, 1)
+                return backends.TokenUsage(1, 0, 1)
 
             monkeypatch.setattr(owner_fakes.FakeEngine, "resume", resume)
             bench.servers.script = [late]
