--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -66,7 +66,7 @@
         self.mint = mint
         self.facts = facts.Facts()
         self.admin_address = ""
-        self._listed: dict[str, platform.Listed] = {}
+        self._listed: dict[str, platform.ListedInstance] = {}
         self._settings = settings
         self._seeds = settings.seeds
         self._incarnation = incarnation
@@ -100,12 +100,12 @@
         links.on_down(self._watching.lost)
 
     @property
-    def listed(self) -> dict[str, platform.Listed]:
+    def listed(self) -> dict[str, platform.ListedInstance]:
         """The platform's instance list as last read, by name."""
         return self._listed
 
     @listed.setter
-    def listed(self, lines: dict[str, platform.Listed]) -> None:
+    def listed(self, lines: dict[str, platform.ListedInstance]) -> None:
         self._listed = lines
         self._changed()
 
--- a/packages/daemon/cassiaquay_daemon/platform/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/platform/__init__.py
@@ -23,7 +23,7 @@
     text: str
 
 
-class Listed(typing.NamedTuple):
+class ListedInstance(typing.NamedTuple):
     """One line of the instance list.
 
     Attributes
@@ -78,7 +78,7 @@
 
     def __init__(self, http: aiohttp.ClientSession, address: str): ...
 
-    async def read(self) -> list[Listed]:
+    async def read(self) -> list[ListedInstance]:
         """Return all lines."""
 
 
@@ -171,7 +171,7 @@
         self._http = http
         self._url = f"http://{address}/v1/instances"
 
-    async def read(self) -> list[Listed]:
+    async def read(self) -> list[ListedInstance]:
         """Return all lines."""
         status, body = await _get(self._http, self._url, ANSWER_SECONDS)
         if status != 200:
@@ -183,7 +183,7 @@
         lines = []
         for line in found["instances"]:
             lines.append(
-                Listed(
+                ListedInstance(
                     line["name"],
                     line["domain"],
                     line["kind"],
--- a/packages/daemon/cassiaquay_daemon/platform/store.py
+++ b/packages/daemon/cassiaquay_daemon/platform/store.py
@@ -219,7 +219,7 @@
     def __init__(self, http: aiohttp.ClientSession, address: str):
         pass
 
-    async def read(self) -> list[platform.Listed]:
+    async def read(self) -> list[platform.ListedInstance]:
         """Return no line."""
         return []
 
--- a/packages/dev/cassiaquay_dev/sizing/light.py
+++ b/packages/dev/cassiaquay_dev/sizing/light.py
@@ -57,9 +57,9 @@
     def __init__(self) -> None:
         self.calls = 0
         self.down = False
-        self.lines: dict[str, platform.Listed] = {}
+        self.lines: dict[str, platform.ListedInstance] = {}
 
-    async def read(self) -> list[platform.Listed]:
+    async def read(self) -> list[platform.ListedInstance]:
         """Return all lines."""
         self.calls += 1
         if self.down:
@@ -176,7 +176,7 @@
 
     def enlist(self, leaving: bool = False) -> None:
         """Put itself on the instance list."""
-        self._listing.lines[self.name] = platform.Listed(
+        self._listing.lines[self.name] = platform.ListedInstance(
             self.name,
             self.settings.domain,
             "entry",
--- a/packages/dev/cassiaquay_dev/sizing/light_worker.py
+++ b/packages/dev/cassiaquay_dev/sizing/light_worker.py
@@ -45,7 +45,7 @@
     async def begin(self, command: Command) -> object:
         """Let all instances begin, with the whole list and a text."""
         for line in command["lines"]:
-            self._listing.lines[line[0]] = platform.Listed(*line)
+            self._listing.lines[line[0]] = platform.ListedInstance(*line)
         self._published.publish(1, command["text"])
         for one in self._lives.values():
             one.begin()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -76,7 +76,7 @@
 
 def test_status_shows_what_instances_say_and_which_are_silent() -> None:
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
-        instance.membership.listed["cq-9"] = platform.Listed(
+        instance.membership.listed["cq-9"] = platform.ListedInstance(
             "cq-9", "derby", "entry", "h:1", "p:1", False
         )
         fleet = await status.collect(client)
@@ -166,7 +166,7 @@
 
 def test_burn_adds_up_and_says_what_is_missing(tmp_path: pathlib.Path) -> None:
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
-        instance.membership.listed["cq-9"] = platform.Listed(
+        instance.membership.listed["cq-9"] = platform.ListedInstance(
             "cq-9", "derby", "entry", "h:1", "p:1", False
         )
         for number in range(burn_sums.LEAST_BAD):
