--- a/packages/daemon/cassiaquay_daemon/adapters/answers.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/answers.py
@@ -98,9 +98,9 @@
         """End the answer; what was said first stays."""
         if self.final is not None:
             return
-        self.settle(outcome, code, message, retry_after_ms, address)
+        self.set_final(outcome, code, message, retry_after_ms, address)
 
-    def settle(
+    def set_final(
         self,
         outcome: str,
         code: str,
--- a/packages/daemon/cassiaquay_daemon/owners/table.py
+++ b/packages/daemon/cassiaquay_daemon/owners/table.py
@@ -91,7 +91,7 @@
 
     def settle(self, entry: entries.Entry, outcome: str, code: str) -> None:
         """Replace the outcome "unknown" of an ended entry by what it came to."""
-        entry.answer.settle(outcome, code)
+        entry.answer.set_final(outcome, code)
         entry.refusal = None
         if outcome == "failed":
             entry.refusal = exceptions.BackendFailed(code=code)
