--- a/packages/daemon/cassiaquay_daemon/gateway/accepting.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/accepting.py
@@ -15,7 +15,7 @@
 RENEWAL_WAIT_SECONDS = 0.4
 
 
-class Accepting:
+class Acceptor:
     """Finds the route and the team of requests.
 
     Parameters
@@ -42,7 +42,7 @@
         self,
         scope: replies.Scope,
         receive: replies.Receive,
-        facts: headers.Facts,
+        parsed: headers.ParsedHeaders,
         began_at: float,
     ) -> calls.Call:
         """Return a checked request; raise a Refusal when it cannot be one."""
@@ -50,44 +50,44 @@
         snapshot = self._configured.current
         if snapshot is None or snapshot.routes is None:
             raise exceptions.NotReady(retry_after_ms=NOT_READY_RETRY_MS)
-        if not facts.attempt:
+        if not parsed.attempt:
             raise exceptions.BadRequest("an id of the attempt is needed")
         target = scope["raw_path"].decode("latin-1")
-        route = snapshot.routes.find(facts.host, target)
+        route = snapshot.routes.find(parsed.host, target)
         if route is None or not route.shares:
-            raise self._unless_behind(exceptions.NoRoute())
-        team = self._team(snapshot.routes, route, facts)
+            raise self._or_not_ready(exceptions.NoRoute())
+        team = self._team(snapshot.routes, route, parsed)
         body = await _read_body(receive, snapshot.routes.bounds)
         if scope["query_string"]:
             target += "?" + scope["query_string"].decode("latin-1")
-        caller = team.name if team is not None else facts.key
+        caller = team.name if team is not None else parsed.key
         return calls.Call(
             scope["method"],
             target,
             scope["headers"],
-            facts,
+            parsed,
             body,
             route,
             route.choose_service(),
             team,
             snapshot,
             began_at,
-            calls.deadline(began_at, facts, route),
-            contents.digest([facts.host, scope["method"], target, caller], body),
+            calls.compute_deadline(began_at, parsed, route),
+            contents.digest([parsed.host, scope["method"], target, caller], body),
         )
 
     def _team(
         self,
         found: routing.Routing,
         route: routing.Route,
-        facts: headers.Facts,
+        parsed: headers.ParsedHeaders,
     ) -> routing.Team | None:
-        team = found.teams_by_key.get(facts.key) if facts.key else None
+        team = found.teams_by_key.get(parsed.key) if parsed.key else None
         if team is None and found.needs_keys and not route.is_public:
-            raise self._unless_behind(exceptions.Unauthorized())
+            raise self._or_not_ready(exceptions.Unauthorized())
         return team
 
-    def _unless_behind(self, refusal: exceptions.Refusal) -> exceptions.Refusal:
+    def _or_not_ready(self, refusal: exceptions.Refusal) -> exceptions.Refusal:
         """Return a refusal that holds also when this configuration may be old.
 
         A route or key that was added a moment ago is unknown to an instance that hears
@@ -104,7 +104,7 @@
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise replies.Gone
+            raise replies.CallerDisconnected
         part = message.get("body", b"")
         size += len(part)
         if size > bounds.body_bytes:
--- a/packages/daemon/cassiaquay_daemon/gateway/admission.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/admission.py
@@ -17,7 +17,7 @@
 NO_SERVERS_RETRY_MS = 600
 # Retry-After while the keeper is silent and this instance's own share is in use: the
 # next keeper has taken over by then.
-ALONE_RETRY_MS = 500
+NO_KEEPER_RETRY_MS = 500
 
 
 class Tally:
@@ -55,7 +55,7 @@
     server: fleet.Server
     expires_at: float
     tally: Tally
-    is_alone: bool
+    is_without_keeper: bool
 
 
 class Admission:
@@ -80,10 +80,10 @@
         self._demands = demanded
         self._membership = membership
         self._cold = cold
-        self._out: collections.Counter[str] = collections.Counter()
+        self._outstanding: collections.Counter[str] = collections.Counter()
 
     async def obtain(
-        self, call: calls.Call, number: int, refused: list[str], tried: list[str]
+        self, call: calls.Call, number: int, unreachable: list[str], tried: list[str]
     ) -> Ticket:
         """Return leave to dispatch; raise Refusal when there is none to be had.
 
@@ -98,7 +98,7 @@
         tried : list of str
             Servers that had it already.
         """
-        demand = _demand(call, number, refused, tried)
+        demand = _demand(call, number, unreachable, tried)
         if not call.snapshot.open_servers(call.service):
             raise exceptions.NoServers(retry_after_ms=NO_SERVERS_RETRY_MS)
         try:
@@ -106,7 +106,7 @@
                 demand, call.deadline, demands.PATIENCE_SECONDS
             )
         except exceptions.KeeperSilent:
-            return self._alone(call, demand)
+            return self._obtain_without_keeper(call, demand)
         demand = demand._replace(shard=permission.shard)
         server = call.snapshot.open_server(call.service, permission.server)
         if server is None:
@@ -114,9 +114,9 @@
             raise exceptions.NotSent("the server is not in force here")
         return Ticket(demand, server, permission.expires_at, Tally(), False)
 
-    def dispatched(self, ticket: Ticket) -> None:
+    def report_dispatched(self, ticket: Ticket) -> None:
         """Note that a ticket is in use."""
-        self._out[ticket.server.name] += 1
+        self._outstanding[ticket.server.name] += 1
         demand = ticket.demand
         item = messages.Outstanding(
             demand.id,
@@ -129,14 +129,14 @@
         )
         self._demands.dispatched(demand.shard, item, ticket.tally)
 
-    def unused(self, ticket: Ticket) -> None:
+    def return_unused(self, ticket: Ticket) -> None:
         """Give a ticket back that was not used."""
-        if not ticket.is_alone:
+        if not ticket.is_without_keeper:
             self._demands.give_back(ticket.demand)
 
-    def ended(self, ticket: Ticket, sent_at: float, outcome: str) -> None:
+    def report_ended(self, ticket: Ticket, sent_at: float, outcome: str) -> None:
         """Note that a dispatched request has ended."""
-        self._out[ticket.server.name] -= 1
+        self._outstanding[ticket.server.name] -= 1
         now = clock.now()
         tally = ticket.tally
         first_ms = max(tally.first_at - sent_at, 0.0) * 1000.0
@@ -154,7 +154,9 @@
             )
         )
 
-    def _alone(self, call: calls.Call, demand: messages.Demand) -> Ticket:
+    def _obtain_without_keeper(
+        self, call: calls.Call, demand: messages.Demand
+    ) -> Ticket:
         # The keeper died, sleeps or is cut off. Each instance then uses its own part
         # of each server, so that all of them together do not overfill it.
         live = max(len(self._membership.serving()), 1)
@@ -170,9 +172,12 @@
             # What other instances send to it is not known here.
             if self._cold.is_cold(server.name):
                 continue
-            if self._out[server.name] >= share:
+            if self._outstanding[server.name] >= share:
                 continue
-            if best is None or self._out[server.name] < self._out[best.name]:
+            if (
+                best is None
+                or self._outstanding[server.name] < self._outstanding[best.name]
+            ):
                 best = server
         logs.event(
             "keeper_silent",
@@ -182,30 +187,30 @@
             server=best.name if best else None,
         )
         if best is None:
-            raise exceptions.Shed(retry_after_ms=ALONE_RETRY_MS)
+            raise exceptions.Shed(retry_after_ms=NO_KEEPER_RETRY_MS)
         return Ticket(demand, best, call.deadline, Tally(), True)
 
 
 def _demand(
-    call: calls.Call, number: int, refused: list[str], tried: list[str]
+    call: calls.Call, number: int, unreachable: list[str], tried: list[str]
 ) -> messages.Demand:
-    facts = call.facts
-    key = str(facts.parts[-1].key) if facts.parts else facts.attempt
-    name = facts.attempt if number == 1 else f"{facts.attempt}.{number}"
+    parsed = call.parsed
+    key = str(parsed.parts[-1].key) if parsed.parts else parsed.attempt
+    name = parsed.attempt if number == 1 else f"{parsed.attempt}.{number}"
     return messages.Demand(
         name,
         call.snapshot.shard_of(call.service, key),
         call.service,
         call.team_name,
         call.rank,
-        facts.prompt_tokens,
-        -(-facts.output_tokens // call.event_tokens),
-        max(int(call.left * 1000.0), 0),
+        parsed.prompt_tokens,
+        -(-parsed.output_tokens // call.event_tokens),
+        max(int(call.seconds_left * 1000.0), 0),
         "",
         [],
-        list(refused),
-        first_ms=max(int(call.first_left * 1000.0), 1),
+        list(unreachable),
+        first_ms=max(int(call.objective_seconds_left * 1000.0), 1),
         pause_ms=int(call.route.pause_seconds * 1000.0),
-        parts=facts.parts,
+        parts=parsed.parts,
         tried=list(tried),
     )
--- a/packages/daemon/cassiaquay_daemon/gateway/calls.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/calls.py
@@ -8,7 +8,7 @@
 
 # The caller's clock runs from when it sent the first byte; ours from when the headers
 # were read. Its wait ends a moment before ours would.
-MARGIN_SECONDS = 0.01
+DEADLINE_MARGIN_SECONDS = 0.01
 
 
 class Call(typing.NamedTuple):
@@ -41,7 +41,7 @@
     method: str
     target: str
     headers: list[tuple[bytes, bytes]]
-    facts: headers.Facts
+    parsed: headers.ParsedHeaders
     body: bytes
     route: routing.Route
     service: str
@@ -52,7 +52,7 @@
     content: str = ""
 
     @property
-    def left(self) -> float:
+    def seconds_left(self) -> float:
         """Seconds until its deadline."""
         return self.deadline - clock.now()
 
@@ -80,14 +80,16 @@
         return self.route.kind is routing.Kind.STREAM
 
     @property
-    def first_left(self) -> float:
+    def objective_seconds_left(self) -> float:
         """Seconds until its answer, or first event, is late."""
         return self.began_at + self.route.objective_seconds - clock.now()
 
 
-def deadline(began_at: float, facts: headers.Facts, route: routing.Route) -> float:
+def compute_deadline(
+    began_at: float, parsed: headers.ParsedHeaders, route: routing.Route
+) -> float:
     """Return when a request ends: by the caller's patience or the route's bound."""
     seconds = route.timeout_seconds
-    if facts.deadline_ms:
-        seconds = min(seconds, facts.deadline_ms / 1000.0)
-    return began_at + seconds - MARGIN_SECONDS
+    if parsed.deadline_ms:
+        seconds = min(seconds, parsed.deadline_ms / 1000.0)
+    return began_at + seconds - DEADLINE_MARGIN_SECONDS
--- a/packages/daemon/cassiaquay_daemon/gateway/connections.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/connections.py
@@ -14,10 +14,10 @@
 IDLE_SECONDS = 4.0
 # Bytes that a dead or cut-off server does not acknowledge for this long break the
 # connection: without it a request would hang until its deadline.
-UNACKNOWLEDGED_MS = 2500
+TCP_USER_TIMEOUT_MS = 2500
 
 
-class _Protocol(client_proto.ResponseHandler):
+class _ResetDetectingHandler(client_proto.ResponseHandler):
     """A connection on which a reset never looks like the end of an answer."""
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -32,13 +32,15 @@
         super().connection_lost(exc)
 
 
-def session() -> aiohttp.ClientSession:
+def create_session() -> aiohttp.ClientSession:
     """Return a session for requests that are passed through."""
     connector = aiohttp.TCPConnector(
-        limit=0, keepalive_timeout=IDLE_SECONDS, socket_factory=_socket
+        limit=0, keepalive_timeout=IDLE_SECONDS, socket_factory=_create_socket
     )
     # The library's own hook for its protocol; there is no public one.
-    factory: typing.Any = functools.partial(_Protocol, loop=connector._loop)
+    factory: typing.Any = functools.partial(
+        _ResetDetectingHandler, loop=connector._loop
+    )
     connector._factory = factory
     found = aiohttp.ClientSession(
         connector=connector,
@@ -53,9 +55,9 @@
     return found
 
 
-def _socket(info: aiohttp.connector.AddrInfoType) -> socket.socket:
+def _create_socket(info: aiohttp.connector.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = info
     found = socket.socket(family=family, type=kind, proto=protocol)
     found.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     return found
--- a/packages/daemon/cassiaquay_daemon/gateway/directory.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/directory.py
@@ -77,7 +77,7 @@
         if not addresses:
             return responses.Response(status_code=503)
         body = wire.encode(
-            addresses[: wire.MOST_ADDRESSES],
+            addresses[: wire.MAX_ADDRESSES],
             self._settings.gateway.directory_seconds,
         )
         return responses.Response(body, media_type="application/json")
--- a/packages/daemon/cassiaquay_daemon/gateway/events.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/events.py
@@ -6,7 +6,7 @@
 
 import typing
 
-MOST_EVENT_BYTES = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 NO_EVENT = -1
 
 
@@ -43,9 +43,9 @@
         return not self._rest
 
     @property
-    def is_over(self) -> bool:
+    def is_too_long(self) -> bool:
         """Whether an event is too long to be one."""
-        return len(self._rest) > MOST_EVENT_BYTES
+        return len(self._rest) > MAX_EVENT_BYTES
 
     def feed(self, data: bytes) -> Events:
         """Return the events that ``data`` completes."""
--- a/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
@@ -16,9 +16,9 @@
 # Connections are there within a round trip; what takes longer hits a full queue of new
 # connections or a dead machine, and another server answers sooner.
 CONNECT_SECONDS = 0.5
-MOST_ANSWER_BYTES = 16 * 1024 * 1024
-FIRST_REDIRECT = 300
-FIRST_FAILURE = 500
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
+FIRST_REDIRECT_STATUS = 300
+FIRST_SERVER_ERROR_STATUS = 500
 
 BeforeSending = collections.abc.Callable[[], None]
 
@@ -43,7 +43,7 @@
     @property
     def is_failure(self) -> bool:
         """Whether the server failed at it."""
-        return self.status >= FIRST_FAILURE
+        return self.status >= FIRST_SERVER_ERROR_STATUS
 
 
 class Forwarder:
@@ -52,7 +52,7 @@
     Parameters
     ----------
     http : ClientSession
-        As :func:`connections.session` returns it.
+        As :func:`connections.create_session` returns it.
     """
 
     def __init__(self, http: aiohttp.ClientSession):
@@ -85,7 +85,7 @@
             call.headers,
             server.name,
             call.team_name,
-            int(call.left * 1000),
+            int(call.seconds_left * 1000),
             last_event,
         )
         timeout = aiohttp.ClientTimeout(
@@ -107,7 +107,7 @@
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
             raise breaks.cut(error) from error
         try:
-            return self._check(call, response)
+            return self._check_answer(call, response)
         except exceptions.BackendError:
             response.close()
             raise
@@ -116,30 +116,32 @@
         """Close all connections."""
         await self._http.close()
 
-    def _check(self, call: calls.Call, response: aiohttp.ClientResponse) -> Answer:
+    def _check_answer(
+        self, call: calls.Call, response: aiohttp.ClientResponse
+    ) -> Answer:
         found = response.headers
         if headers.NOT_EXECUTED in found or response.status == 421:
             raise exceptions.Declined(f"status {response.status}")
-        if found.get(headers.ATTEMPT.decode(), "") != call.facts.attempt:
+        if found.get(headers.ATTEMPT.decode(), "") != call.parsed.attempt:
             # Bytes of another request, or of none: a late second answer on a kept
             # connection would give this caller another one's answer.
             raise exceptions.StreamCut("the answer is not of this request")
         return Answer(response, response.status, headers.towards_caller(found.items()))
 
 
-async def read_whole(answer: Answer) -> bytes:
+async def read_body(answer: Answer) -> bytes:
     """Return the body of an answer; raise StreamCut when it breaks off."""
     parts = []
     size = 0
-    async for part in read(answer):
+    async for part in stream_body(answer):
         parts.append(part)
         size += len(part)
-        if size > MOST_ANSWER_BYTES:
+        if size > MAX_ANSWER_BYTES:
             raise exceptions.StreamCut("the answer is too large")
     return b"".join(parts)
 
 
-async def read(answer: Answer) -> collections.abc.AsyncIterator[bytes]:
+async def stream_body(answer: Answer) -> collections.abc.AsyncIterator[bytes]:
     """Yield the body as it comes; raise StreamCut when it breaks off."""
     try:
         async for part in answer.response.content.iter_any():
--- a/packages/daemon/cassiaquay_daemon/gateway/front.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/front.py
@@ -25,8 +25,8 @@
 
     def __init__(
         self,
-        accepted: accepting.Accepting,
-        served: serving.Serving,
+        accepted: accepting.Acceptor,
+        served: serving.RequestHandler,
         reply: replies.Replies,
         noted: accounting.Accounting,
     ):
@@ -59,41 +59,41 @@
         self, scope: replies.Scope, receive: replies.Receive, send: replies.Send
     ) -> None:
         began_at = clock.now()
-        facts = headers.read(scope["headers"])
+        parsed = headers.read(scope["headers"])
         try:
-            call = await self._accepting.accept(scope, receive, facts, began_at)
+            call = await self._accepting.accept(scope, receive, parsed, began_at)
         except exceptions.Refusal as refusal:
-            replies.log_refused(facts, refusal, began_at)
-            self._accounts.refused(facts, refusal)
+            replies.log_refused(parsed, refusal, began_at)
+            self._accounts.record_refused(parsed, refusal)
             await self._replies.refuse(send, refusal)
             return
-        except replies.Gone:
-            logs.event("caller_gone", id=facts.attempt, sent=False)
+        except replies.CallerDisconnected:
+            logs.event("caller_gone", id=parsed.attempt, sent=False)
             return
-        known = progress.Progress(call)
-        work = asyncio.create_task(self._serving.serve(known, send))
+        state = progress.RequestState(call)
+        work = asyncio.create_task(self._serving.serve(state, send))
         gone = asyncio.create_task(streams.disconnected(receive))
         done, _ = await asyncio.wait([work, gone], return_when=asyncio.FIRST_COMPLETED)
         if work in done:
             gone.cancel()
         else:
-            self._caller_gone(known, work)
+            self._handle_disconnect(state, work)
         await asyncio.gather(work, gone, return_exceptions=True)
 
-    def _caller_gone(
-        self, known: progress.Progress, work: "asyncio.Task[None]"
+    def _handle_disconnect(
+        self, state: progress.RequestState, work: "asyncio.Task[None]"
     ) -> None:
         # What waits for a caller that has gone is forgotten and what runs for it is
         # stopped, so that no server works for nobody. What may not run twice is left
         # to its end: cut off, its work would be half done.
-        call = known.call
-        if call.is_stream or call.route.is_repeatable or not known.sent:
+        call = state.call
+        if call.is_stream or call.route.is_repeatable or not state.may_have_run:
             work.cancel()
-            self._accounts.abandoned(known)
+            self._accounts.record_abandoned(state)
         logs.event(
             "caller_gone",
-            id=call.facts.attempt,
-            sent=known.sent,
-            server=known.server or None,
-            ms=replies.ms_since(call.began_at),
+            id=call.parsed.attempt,
+            sent=state.may_have_run,
+            server=state.server or None,
+            ms=replies.elapsed_ms(call.began_at),
         )
--- a/packages/daemon/cassiaquay_daemon/gateway/progress.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/progress.py
@@ -3,7 +3,7 @@
 from . import calls
 
 
-class Progress:
+class RequestState:
     """One request between its acceptance and its end.
 
     Parameters
@@ -25,7 +25,7 @@
         Server that was chosen last.
     server_start : str
         The same, with the start of its process.
-    refused : list of str
+    unreachable : list of str
         Servers that could not be reached.
     tried : list of str
         Servers that got it and did not answer it well.
@@ -35,20 +35,20 @@
         self.call = call
         self.runs = 0
         self.tries = 0
-        self.last_event = call.facts.last_event
+        self.last_event = call.parsed.last_event
         self.started = False
         self.server = ""
         self.server_start = ""
-        self.refused: list[str] = []
+        self.unreachable: list[str] = []
         self.tried: list[str] = []
 
     @property
-    def sent(self) -> bool:
+    def may_have_run(self) -> bool:
         """Whether a server may have run it."""
         return self.runs > 0
 
     @property
-    def may_repeat(self) -> bool:
+    def is_repeatable_now(self) -> bool:
         """Whether one more server may run it."""
         route = self.call.route
         return route.is_repeatable and self.runs < route.attempts
--- a/packages/daemon/cassiaquay_daemon/gateway/replies.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/replies.py
@@ -17,7 +17,7 @@
 Pairs = list[tuple[bytes, bytes]]
 
 
-class Gone(Exception):
+class CallerDisconnected(Exception):
     """The caller closed its connection."""
 
 
@@ -60,7 +60,7 @@
     return {"type": "http.response.body", "body": data, "more_body": more}
 
 
-def without_length(pairs: Pairs) -> Pairs:
+def drop_content_length(pairs: Pairs) -> Pairs:
     """Return headers without the length of the body."""
     return [pair for pair in pairs if pair[0].lower() != b"content-length"]
 
@@ -74,26 +74,26 @@
 
 
 def log_refused(
-    facts: headers.Facts,
+    parsed: headers.ParsedHeaders,
     refusal: exceptions.Refusal,
     began_at: float,
-    known: progress.Progress | None = None,
+    state: progress.RequestState | None = None,
 ) -> None:
     """Write the line of a request that did not complete."""
     logs.event(
         "ended",
-        id=facts.attempt,
+        id=parsed.attempt,
         outcome=refusal.outcome or "not_run",
         code=refusal.code,
         status=status_of(refusal),
         retry_after_ms=refusal.retry_after_ms or None,
-        route=known.call.route.name if known else None,
-        server=known.server if known else None,
-        tries=known.tries if known else None,
-        ms=ms_since(began_at),
+        route=state.call.route.name if state else None,
+        server=state.server if state else None,
+        tries=state.tries if state else None,
+        ms=elapsed_ms(began_at),
     )
 
 
-def ms_since(at: float) -> float:
+def elapsed_ms(at: float) -> float:
     """Return the milliseconds since a time on this clock, for logs."""
     return round((clock.now() - at) * 1000.0, 1)
--- a/packages/daemon/cassiaquay_daemon/gateway/service.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/service.py
@@ -31,13 +31,13 @@
 # Share of the grace time in which a stopping instance still takes new requests. Answers
 # of the directory that name it are mostly over by then, and a stream of five seconds
 # that is taken at the last moment still ends before the process is killed.
-LINGER_SHARE = 0.3
+ACCEPTING_SHARE = 0.3
 # Time at the end of the grace time for closing what is left.
 CLOSING_SECONDS = 0.4
 POLL_SECONDS = 0.05
 # Without an open request for so long, nothing that was on its way is still to come: the
 # listeners look ten times a second whether they should end.
-SETTLE_SECONDS = 0.5
+QUIET_SECONDS = 0.5
 
 
 class Shared(typing.NamedTuple):
@@ -75,9 +75,9 @@
         self._gateway = settings.gateway
         self._membership = shared.membership
         self._parts = parts
-        accepted = accepting.Accepting(shared.configured, shared.known, shared.pauses)
+        accepted = accepting.Acceptor(shared.configured, shared.known, shared.pauses)
         self._front = front.Front(
-            accepted, serving.Serving(parts), parts.reply, parts.accounting
+            accepted, serving.RequestHandler(parts), parts.reply, parts.accounting
         )
         self._directory = directory.Directory(
             settings, shared.membership, shared.configured, shared.pauses, self._front
@@ -112,10 +112,10 @@
         self._front.leave()
         self._membership.farewell()
         # Callers that asked for addresses just before still come for a while.
-        await asyncio.sleep(grace * LINGER_SHARE)
+        await asyncio.sleep(grace * ACCEPTING_SHARE)
         for server in self._servers:
             server.should_exit = True
-        await self._until_settled(ends_at)
+        await self._wait_until_idle(ends_at)
         logs.event("drained", cut_off=self._front.open_count)
         for server in self._servers:
             server.force_exit = True
@@ -124,7 +124,7 @@
                 await asyncio.gather(*self._serving, return_exceptions=True)
         await self._parts.forwarder.close()
 
-    async def _until_settled(self, ends_at: float) -> None:
+    async def _wait_until_idle(self, ends_at: float) -> None:
         """Return when no request has been open for a while, or the time is over.
 
         The listeners notice a moment later that they should end, and what callers sent
@@ -133,7 +133,7 @@
         """
         loop = asyncio.get_running_loop()
         busy_at = loop.time()
-        while loop.time() < min(busy_at + SETTLE_SECONDS, ends_at):
+        while loop.time() < min(busy_at + QUIET_SECONDS, ends_at):
             await asyncio.sleep(POLL_SECONDS)
             if self._front.open_count:
                 busy_at = loop.time()
@@ -150,7 +150,7 @@
     parts = serving.Parts(
         shared.configured,
         admission.Admission(shared.demanded, shared.membership, shared.cold),
-        forwarding.Forwarder(connections.session()),
+        forwarding.Forwarder(connections.create_session()),
         budgets.RetryBudget(settings, shared.membership.fleet_size),
         shared.crashes,
         quotas.Quotas(settings, shared.links, shared.membership, shared.configured),
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -30,16 +30,16 @@
 # limit; the other half is for its slot and its first event.
 LIMIT_WAIT_SHARE = 0.5
 # Pause before a request whose connection failed asks for another server.
-AGAIN_SECONDS = 0.01
+RETRY_PAUSE_SECONDS = 0.01
 # A server that says nothing for so long is taken for silent while its caller, who waits
 # two seconds and more between events, still has time for another one.
 STREAM_SILENCE_SECONDS = 1.2
-LEAST_SILENCE_SECONDS = 0.25
+MIN_SILENCE_SECONDS = 0.25
 # Prompt tokens a second of a slow engine: long prompts delay the first event.
-SLOW_RATE = 20_000.0
+SLOW_PREFILL_TOKENS_PER_SECOND = 20_000.0
 # Connections that may fail before a request is refused: servers that crashed are still
 # listed for a while, and two of them together must not cost a request.
-MOST_UNSENT = 4
+MAX_UNSENT_DISPATCHES = 4
 
 
 class Parts(typing.NamedTuple):
@@ -78,7 +78,7 @@
     accounting: accounting.Accounting
 
 
-class Serving:
+class RequestHandler:
     """Serves accepted requests.
 
     Parameters
@@ -90,170 +90,184 @@
     def __init__(self, parts: Parts):
         self._parts = parts
 
-    async def serve(self, known: progress.Progress, send: replies.Send) -> None:
+    async def serve(self, state: progress.RequestState, send: replies.Send) -> None:
         """Serve one request; it has its final answer when this returns."""
-        call = known.call
+        call = state.call
         self._parts.budget.count(call.service)
         taken: quotas.Taken | None = None
         try:
-            self._check_quarantine(known)
-            async with asyncio.timeout(max(call.left, 0.0)):
-                patience = call.first_left * LIMIT_WAIT_SHARE
-                taken = await self._parts.limited.take(call.team, call.facts, patience)
-                await self._answer(known, send)
+            self._check_quarantine(state)
+            async with asyncio.timeout(max(call.seconds_left, 0.0)):
+                patience = call.objective_seconds_left * LIMIT_WAIT_SHARE
+                taken = await self._parts.limited.take(call.team, call.parsed, patience)
+                await self._dispatch_until_answered(state, send)
         except exceptions.Refusal as refusal:
-            await self._end(known, send, refusal)
+            await self._end_refused(state, send, refusal)
         except TimeoutError:
-            late = exceptions.DeadlineExceeded if known.sent else exceptions.Infeasible
-            await self._end(known, send, late())
+            late = (
+                exceptions.DeadlineExceeded
+                if state.may_have_run
+                else exceptions.Infeasible
+            )
+            await self._end_refused(state, send, late())
         except Exception as error:
             # Whatever went wrong here, the caller gets an answer that is true.
-            logs.trouble("request_crashed", id=call.facts.attempt, cause=repr(error))
-            lost = exceptions.OutcomeUnknown if known.sent else exceptions.InternalError
-            await self._end(known, send, lost())
+            logs.trouble("request_crashed", id=call.parsed.attempt, cause=repr(error))
+            lost = (
+                exceptions.OutcomeUnknown
+                if state.may_have_run
+                else exceptions.InternalError
+            )
+            await self._end_refused(state, send, lost())
         finally:
-            if taken is not None and not known.sent:
+            if taken is not None and not state.may_have_run:
                 self._parts.limited.give_back(taken)
 
-    async def _answer(self, known: progress.Progress, send: replies.Send) -> None:
+    async def _dispatch_until_answered(
+        self, state: progress.RequestState, send: replies.Send
+    ) -> None:
         """Dispatch until an answer is whole; raise Refusal for any other end."""
         unsent = 0
         while True:
-            known.tries += 1
+            state.tries += 1
             try:
-                await self._try(known, send)
+                await self._dispatch_once(state, send)
                 return
             except exceptions.NotSent as error:
                 logs.event(
                     "not_sent",
-                    id=known.call.facts.attempt,
-                    server=known.server,
+                    id=state.call.parsed.attempt,
+                    server=state.server,
                     cause=str(error),
                 )
                 unsent += 1
-                if unsent >= MOST_UNSENT:
-                    raise _unserved(known) from error
-                await asyncio.sleep(AGAIN_SECONDS)
+                if unsent >= MAX_UNSENT_DISPATCHES:
+                    raise _unserved_refusal(state) from error
+                await asyncio.sleep(RETRY_PAUSE_SECONDS)
             except exceptions.Declined as error:
-                if not self._parts.budget.take(known.call.service):
-                    raise _unserved(known) from error
-            except _FailedOnce as error:
+                if not self._parts.budget.take(state.call.service):
+                    raise _unserved_refusal(state) from error
+            except _RetryableFailure as error:
                 logs.event(
                     "repeated",
-                    id=known.call.facts.attempt,
-                    server=known.server,
+                    id=state.call.parsed.attempt,
+                    server=state.server,
                     cause=f"status {error}",
                 )
             except exceptions.StreamCut as error:
-                self._check_repeat(known, error)
+                self._check_repeat(state, error)
 
     def _check_repeat(
-        self, known: progress.Progress, error: exceptions.StreamCut
+        self, state: progress.RequestState, error: exceptions.StreamCut
     ) -> None:
         """Return when the request may be sent to another server; raise otherwise."""
-        call = known.call
+        call = state.call
         logs.event(
             "answer_cut",
-            id=call.facts.attempt,
+            id=call.parsed.attempt,
             content=call.content,
-            server=known.server,
+            server=state.server,
             cause=str(error),
-            after=known.last_event,
-            runs=known.runs,
+            after=state.last_event,
+            runs=state.runs,
         )
         if isinstance(error, exceptions.ConnectionBroken):
-            self._parts.crashes.crashed(call.content, known.server_start)
-        if not known.may_repeat:
+            self._parts.crashes.crashed(call.content, state.server_start)
+        if not state.is_repeatable_now:
             raise exceptions.AnswerLost() from error
-        if known.started and not call.is_stream:
+        if state.started and not call.is_stream:
             raise exceptions.AnswerLost() from error
-        self._check_quarantine(known)
+        self._check_quarantine(state)
         if not self._parts.budget.take(call.service):
             raise exceptions.AnswerLost("the budget of repeats is spent") from error
 
-    async def _try(self, known: progress.Progress, send: replies.Send) -> None:
+    async def _dispatch_once(
+        self, state: progress.RequestState, send: replies.Send
+    ) -> None:
         """Dispatch once and pass the answer on."""
-        call = known.call
+        call = state.call
         ticket = await self._parts.admitted.obtain(
-            call, known.tries, known.refused, known.tried
+            call, state.tries, state.unreachable, state.tried
         )
-        known.server = ticket.server.name
-        known.server_start = f"{ticket.server.name}/{ticket.server.started_ms}"
+        state.server = ticket.server.name
+        state.server_start = f"{ticket.server.name}/{ticket.server.started_ms}"
         sent_at = 0.0
 
         def before_sending() -> None:
             nonlocal sent_at
-            self._check(known, ticket)
+            self._check_before_sending(state, ticket)
             sent_at = clock.now()
-            self._mark(known, ticket)
+            self._mark_dispatched(state, ticket)
 
         outcome = "unknown"
         try:
-            outcome = await self._exchange(known, ticket, send, before_sending)
+            outcome = await self._exchange(state, ticket, send, before_sending)
         except exceptions.Declined as error:
             # The server's own word that it did not run it: nothing has happened.
-            known.runs -= 1
+            state.runs -= 1
             outcome = "declined"
-            known.tried.append(ticket.server.name)
+            state.tried.append(ticket.server.name)
             logs.event(
                 "declined",
-                id=call.facts.attempt,
+                id=call.parsed.attempt,
                 server=ticket.server.name,
                 cause=str(error),
             )
             raise
         except exceptions.Unreachable:
-            known.refused.append(ticket.server.name)
+            state.unreachable.append(ticket.server.name)
             raise
-        except (exceptions.StreamCut, _FailedOnce) as error:
-            outcome = "failed" if isinstance(error, _FailedOnce) else "cut"
-            known.tried.append(ticket.server.name)
+        except (exceptions.StreamCut, _RetryableFailure) as error:
+            outcome = "failed" if isinstance(error, _RetryableFailure) else "cut"
+            state.tried.append(ticket.server.name)
             raise
         finally:
             if sent_at:
-                self._parts.admitted.ended(ticket, sent_at, outcome)
+                self._parts.admitted.report_ended(ticket, sent_at, outcome)
             else:
-                self._parts.admitted.unused(ticket)
+                self._parts.admitted.return_unused(ticket)
 
     async def _exchange(
         self,
-        known: progress.Progress,
+        state: progress.RequestState,
         ticket: admission.Ticket,
         send: replies.Send,
         before_sending: forwarding.BeforeSending,
     ) -> str:
         """Send a request and pass its answer on; return how it ended."""
-        call = known.call
+        call = state.call
         answer = await self._parts.forwarder.send(
             call,
             ticket.server,
-            known.last_event,
-            _silence_seconds(known),
+            state.last_event,
+            _silence_seconds(state),
             before_sending,
         )
         try:
-            if answer.is_failure and not known.started and known.may_repeat:
+            if answer.is_failure and not state.started and state.is_repeatable_now:
                 if self._parts.budget.take(call.service):
-                    raise _FailedOnce(answer.status)
+                    raise _RetryableFailure(answer.status)
             if call.is_stream and answer.status == 200:
-                await passing.pass_events(
-                    known, answer, ticket.tally, self._parts.reply, send
+                await passing.pass_streamed(
+                    state, answer, ticket.tally, self._parts.reply, send
                 )
             else:
-                await passing.pass_whole(known, answer, self._parts.reply, send)
+                await passing.pass_buffered(state, answer, self._parts.reply, send)
         finally:
             # The server stops working on a request whose connection closes; the
             # connection of an answer that was read to its end is kept.
             answer.response.close()
-        self._log_completed(known, answer.status, ticket.tally)
+        self._log_completed(state, answer.status, ticket.tally)
         return "failed" if answer.is_failure else "completed"
 
-    def _check(self, known: progress.Progress, ticket: admission.Ticket) -> None:
+    def _check_before_sending(
+        self, state: progress.RequestState, ticket: admission.Ticket
+    ) -> None:
         # The last look before the first byte. A process that was paused wakes up here
         # with a ticket that is over, a server that has left or a key that was taken
         # away: nothing may be sent on what was true before.
-        call = known.call
-        self._check_quarantine(known)
+        call = state.call
+        self._check_quarantine(state)
         if not self._parts.pauses.current:
             raise exceptions.Overslept("this process was paused")
         if clock.now() >= min(ticket.expires_at, call.deadline):
@@ -269,82 +283,88 @@
             "the route or key has gone", retry_after_ms=accepting.NOT_READY_RETRY_MS
         )
 
-    def _check_quarantine(self, known: progress.Progress) -> None:
-        if not self._parts.crashes.holds(known.call.content):
+    def _check_quarantine(self, state: progress.RequestState) -> None:
+        if not self._parts.crashes.holds(state.call.content):
             return
-        if known.sent:
+        if state.may_have_run:
             raise exceptions.AnswerLost("the request has crashed several servers")
         raise exceptions.Quarantined(retry_after_ms=quarantine.RETRY_MS)
 
-    def _mark(self, known: progress.Progress, ticket: admission.Ticket) -> None:
+    def _mark_dispatched(
+        self, state: progress.RequestState, ticket: admission.Ticket
+    ) -> None:
         # From here on it may run: only the server's own word unmarks it.
-        known.runs += 1
-        self._parts.admitted.dispatched(ticket)
-        call = known.call
+        state.runs += 1
+        self._parts.admitted.report_dispatched(ticket)
+        call = state.call
         logs.event(
             "dispatch",
-            id=call.facts.attempt,
+            id=call.parsed.attempt,
             content=call.content,
             server=ticket.server.name,
             route=call.route.name,
             team=call.team_name,
             rank=call.rank,
-            number=known.tries,
-            after=known.last_event if known.last_event >= 0 else None,
-            alone=ticket.is_alone or None,
-            waited_ms=replies.ms_since(call.began_at),
+            number=state.tries,
+            after=state.last_event if state.last_event >= 0 else None,
+            alone=ticket.is_without_keeper or None,
+            waited_ms=replies.elapsed_ms(call.began_at),
             configuration=call.snapshot.revision,
         )
 
-    async def _end(
+    async def _end_refused(
         self,
-        known: progress.Progress,
+        state: progress.RequestState,
         send: replies.Send,
         refusal: exceptions.Refusal,
     ) -> None:
-        call = known.call
-        replies.log_refused(call.facts, refusal, call.began_at, known)
+        call = state.call
+        replies.log_refused(call.parsed, refusal, call.began_at, state)
         outcome = refusal.outcome or "not_run"
-        self._parts.accounting.ended(known, outcome, refusal.code, 0.0)
-        if known.started:
+        self._parts.accounting.record_ended(state, outcome, refusal.code, 0.0)
+        if state.started:
             # The caller has a part: returning without its end breaks the connection,
             # so that the part does not look whole.
             return
         await self._parts.reply.refuse(send, refusal)
 
     def _log_completed(
-        self, known: progress.Progress, status: int, tally: admission.Tally
+        self, state: progress.RequestState, status: int, tally: admission.Tally
     ) -> None:
-        call = known.call
+        call = state.call
         first_ms = None
         if tally.first_at:
             first_ms = round((tally.first_at - call.began_at) * 1000.0, 1)
         first_at = tally.first_at or clock.now()
-        outcome = "failed" if status >= forwarding.FIRST_FAILURE else "completed"
-        if status < forwarding.FIRST_REDIRECT:
-            self._parts.crashes.completed(known.call.content)
-        self._parts.accounting.ended(known, outcome, outcome, first_at - call.began_at)
+        outcome = (
+            "failed" if status >= forwarding.FIRST_SERVER_ERROR_STATUS else "completed"
+        )
+        if status < forwarding.FIRST_REDIRECT_STATUS:
+            self._parts.crashes.completed(state.call.content)
+        self._parts.accounting.record_ended(
+            state, outcome, outcome, first_at - call.began_at
+        )
         logs.event(
             "ended",
-            id=call.facts.attempt,
+            id=call.parsed.attempt,
             outcome=outcome,
             status=status,
-            server=known.server,
+            server=state.server,
             route=call.route.name,
             events=tally.count,
-            prompt_tokens=call.facts.prompt_tokens or None,
-            output_tokens=call.facts.output_tokens or None,
+            prompt_tokens=call.parsed.prompt_tokens or None,
+            output_tokens=call.parsed.output_tokens or None,
             first_ms=first_ms,
-            ms=replies.ms_since(call.began_at),
+            ms=replies.elapsed_ms(call.began_at),
         )
 
 
-class _FailedOnce(Exception):
+class _RetryableFailure(Exception):
     """A server failed at a request that may be, and will be, sent to another."""
 
 
-def _unserved(known: progress.Progress) -> exceptions.Refusal:
-    if known.sent:
+def _unserved_refusal(state: progress.RequestState) -> exceptions.Refusal:
+    if state.may_have_run:
         return exceptions.AnswerLost()
     return exceptions.ServerDeclined(
         "no server took it", retry_after_ms=UNREACHABLE_RETRY_MS
@@ -353,23 +373,26 @@
 
 def _is_allowed(call: calls.Call, found: routing.Routing) -> bool:
     """Tell whether a newer configuration still lets a request through."""
-    route = found.find(call.facts.host, call.target.partition("?")[0])
+    route = found.find(call.parsed.host, call.target.partition("?")[0])
     if route is None or call.service not in {share.service for share in route.shares}:
         return False
     if call.team is None:
         return route.is_public or not found.needs_keys
-    team = found.teams_by_key.get(call.facts.key)
+    team = found.teams_by_key.get(call.parsed.key)
     return team is not None and team.name == call.team.name
 
 
-def _silence_seconds(known: progress.Progress) -> float | None:
+def _silence_seconds(state: progress.RequestState) -> float | None:
     """Return how long a server may say nothing before another one is asked.
 
     None where nobody else may be asked: then the deadline ends it.
     """
-    call = known.call
-    if not known.may_repeat:
+    call = state.call
+    if not state.is_repeatable_now:
         return None
     if not call.is_stream:
-        return max(call.route.objective_seconds, LEAST_SILENCE_SECONDS)
-    return STREAM_SILENCE_SECONDS + call.facts.prompt_tokens / SLOW_RATE
+        return max(call.route.objective_seconds, MIN_SILENCE_SECONDS)
+    return (
+        STREAM_SILENCE_SECONDS
+        + call.parsed.prompt_tokens / SLOW_PREFILL_TOKENS_PER_SECOND
+    )
--- a/packages/daemon/cassiaquay_daemon/platform/directory.py
+++ b/packages/daemon/cassiaquay_daemon/platform/directory.py
@@ -5,7 +5,7 @@
 RESOLVE_PATH = "/cassiaquay/resolve"
 READY_PATH = "/cassiaquay/ready"
 # An answer may name as many.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 
 
 def encode(addresses: list[str], seconds: float) -> bytes:
--- a/packages/daemon/cassiaquay_daemon/platform/documents.py
+++ b/packages/daemon/cassiaquay_daemon/platform/documents.py
@@ -11,7 +11,7 @@
 
 NAME = "store"
 # The document has no least bound; no request can be served in less.
-LEAST_TIMEOUT_MS = 1.0
+MIN_TIMEOUT_MS = 1.0
 KINDS = {
     "idempotent": routing.Kind.IDEMPOTENT,
     "non_idempotent": routing.Kind.NON_IDEMPOTENT,
@@ -147,7 +147,7 @@
         item.path_prefix,
         kind,
         tuple(share for share in shares if share.weight > 0),
-        max(item.timeout_ms, LEAST_TIMEOUT_MS) / 1000.0,
+        max(item.timeout_ms, MIN_TIMEOUT_MS) / 1000.0,
         item.slo_ms / 1000.0,
         item.gap_target_ms / 1000.0,
         item.priority,
--- a/packages/daemon/cassiaquay_daemon/platform/entries.py
+++ b/packages/daemon/cassiaquay_daemon/platform/entries.py
@@ -10,7 +10,7 @@
 
 READY = "ready"
 DRAINING = "draining"
-MOST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 
 
 class _Entry(msgspec.Struct):
@@ -41,7 +41,7 @@
     if entry.state not in (READY, DRAINING) or not _is_address(entry.addr):
         logs.detail("server_entry_unusable", server=name, state=entry.state)
         return None
-    if not name or not entry.service or not 0 < entry.slots <= MOST_SLOTS:
+    if not name or not entry.service or not 0 < entry.slots <= MAX_SLOTS:
         return None
     return messages.ServerEntry(
         name,
--- a/packages/daemon/cassiaquay_daemon/platform/headers.py
+++ b/packages/daemon/cassiaquay_daemon/platform/headers.py
@@ -26,7 +26,7 @@
 
 # Headers that only this system may set towards a server. What a caller sends under
 # these names is dropped: it could pin memory, claim another's capacity or its team.
-_OWN = {
+_RESERVED = {
     KEY,
     DEADLINE,
     LAST_EVENT,
@@ -44,7 +44,7 @@
     b"wait-ms",
 }
 # Headers of one connection, which a proxy must not pass on (RFC 9110, 7.6.1).
-_HOP = {
+_HOP_BY_HOP = {
     b"connection",
     b"proxy-connection",
     b"keep-alive",
@@ -57,13 +57,13 @@
     b"proxy-authorization",
     b"proxy-authenticate",
 }
-_HOP_RESPONSE = {name.decode() for name in _HOP} - {"content-length"}
+_HOP_BY_HOP_RESPONSE = {name.decode() for name in _HOP_BY_HOP} - {"content-length"}
 
-MOST_TOKENS = 100_000_000
-MOST_PARTS = 64
+MAX_TOKENS = 100_000_000
+MAX_PROMPT_PARTS = 64
 
 
-class Facts(typing.NamedTuple):
+class ParsedHeaders(typing.NamedTuple):
     """What a caller's headers say of its request.
 
     Attributes
@@ -102,7 +102,7 @@
         return bool(self.prompt_tokens or self.most_output_tokens)
 
 
-def read(headers: Headers) -> Facts:
+def read(headers: Headers) -> ParsedHeaders:
     """Return what the headers say; what cannot be read counts as not said."""
     found: dict[bytes, bytes] = {}
     for name, value in headers:
@@ -112,7 +112,7 @@
     prompt_tokens = _number(counts[0], 0)
     most = _number(counts[1], 0) if len(counts) > 1 else 0
     hint = min(_number(found.get(LENGTH_HINT, b""), most), most) or most
-    return Facts(
+    return ParsedHeaders(
         host.partition(":")[0],
         found.get(ATTEMPT, b"").decode("latin-1"),
         _number(found.get(DEADLINE, b""), 0),
@@ -143,7 +143,7 @@
     last_event : int
         Event after which a stream goes on; -1 for its beginning.
     """
-    dropped = _OWN | _HOP | _named_by_connection(headers)
+    dropped = _RESERVED | _HOP_BY_HOP | _connection_options(headers)
     found: Pairs = []
     for name, value in headers:
         if name not in dropped:
@@ -163,12 +163,12 @@
     """Return the headers of a server's answer as its caller gets them."""
     found = []
     for name, value in headers:
-        if name.lower() not in _HOP_RESPONSE:
+        if name.lower() not in _HOP_BY_HOP_RESPONSE:
             found.append((name.encode("latin-1"), value.encode("latin-1")))
     return found
 
 
-def _named_by_connection(headers: Headers) -> set[bytes]:
+def _connection_options(headers: Headers) -> set[bytes]:
     named: set[bytes] = set()
     for name, value in headers:
         if name != b"connection":
@@ -184,7 +184,7 @@
 def _parts(model: bytes, text: bytes) -> list[messages.PromptPart]:
     found: list[messages.PromptPart] = []
     chain = xxhash.xxh3_64_intdigest(model)
-    for piece in text.split(b",")[:MOST_PARTS]:
+    for piece in text.split(b",")[:MAX_PROMPT_PARTS]:
         name, _, count = piece.strip().rpartition(b":")
         tokens = _number(count, 0)
         if not name or not tokens:
@@ -198,4 +198,4 @@
     text = text.strip()
     if not text.isdigit() or len(text) > 12:
         return default
-    return min(int(text), MOST_TOKENS)
+    return min(int(text), MAX_TOKENS)
--- a/packages/daemon/cassiaquay_daemon/platform/store.py
+++ b/packages/daemon/cassiaquay_daemon/platform/store.py
@@ -30,7 +30,7 @@
 # nothing more.
 ANSWER_SECONDS = 0.6
 # A fleet of thousands of servers fits; a listing that never ends must not be followed.
-MOST_PAGES = 200
+MAX_PAGES = 200
 
 
 class _Item(msgspec.Struct):
@@ -91,8 +91,8 @@
         status, body = await self._get(ITEM_PATH, {"key": key}, ANSWER_SECONDS)
         if status == 404:
             return None
-        _expect(status)
-        return _decoded(_parse(body, _ItemBody))
+        _check_status(status)
+        return _decode_item(_parse(body, _ItemBody))
 
     async def items(self, prefix: str) -> Items:
         """Return all keys under a prefix.
@@ -103,20 +103,20 @@
         found: list[Item] = []
         revision = 0
         after = ""
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             query = {"path-prefix": prefix}
             if after:
                 query["after"] = after
             status, body = await self._get(RANGE_PATH, query, ANSWER_SECONDS)
-            _expect(status)
+            _check_status(status)
             page = _parse(body, _RangeBody)
             revision = revision or page.current
             for item in page.items:
-                found.append(_decoded(item))
+                found.append(_decode_item(item))
             if not page.truncated or not page.items:
                 return Items(revision, found)
             after = page.items[-1].key
-        raise exceptions.PlatformError(f"{prefix}: more than {MOST_PAGES} pages")
+        raise exceptions.PlatformError(f"{prefix}: more than {MAX_PAGES} pages")
 
     async def changed(self, prefix: str, after: int, wait: float) -> int | None:
         """Wait for a change after a revision; return the revision to go on from.
@@ -131,7 +131,7 @@
         status, body = await self._get(WATCH_PATH, query, wait + ANSWER_SECONDS)
         if status == 410:
             return None
-        _expect(status)
+        _check_status(status)
         found = _parse(body, _WatchBody)
         if found.events:
             return found.current
@@ -224,7 +224,7 @@
         return []
 
 
-def _expect(status: int) -> None:
+def _check_status(status: int) -> None:
     if status != 200:
         raise exceptions.PlatformError(f"store: status {status}")
 
@@ -239,7 +239,7 @@
         raise exceptions.PlatformError(str(error)) from error
 
 
-def _decoded(item: _Item | _ItemBody) -> Item:
+def _decode_item(item: _Item | _ItemBody) -> Item:
     try:
         value = base64.b64decode(item.value, validate=True)
     except (binascii.Error, ValueError):
--- a/packages/dev/cassiaquay_dev/lab/instances.py
+++ b/packages/dev/cassiaquay_dev/lab/instances.py
@@ -124,7 +124,7 @@
     part = messages.PromptPart(
         rendezvous.score(request.name, "prompt"), request.prompt_tokens
     )
-    facts = headers.Facts(
+    facts = headers.ParsedHeaders(
         HOST,
         attempt,
         0,
--- a/packages/dev/cassiaquay_dev/lab/played.py
+++ b/packages/dev/cassiaquay_dev/lab/played.py
@@ -180,7 +180,7 @@
         )
         engine = self.engines[ticket.server.name]
         sent_at = clock.now()
-        instance.admission.dispatched(ticket)
+        instance.admission.report_dispatched(ticket)
         engine.submit(run)
         outcome = "cut"
         try:
@@ -188,7 +188,7 @@
             outcome = "completed"
         finally:
             engine.cancel(run)
-            instance.admission.ended(ticket, sent_at, outcome)
+            instance.admission.report_ended(ticket, sent_at, outcome)
 
     async def _sample(self) -> None:
         factors = [engine.time_factor for engine in self.engines.values()]
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -42,9 +42,9 @@
     raise AssertionError("no body is read of a request without a route")
 
 
-async def _accept(accepted: accepting.Accepting) -> None:
-    facts = headers.read(HEADERS)
-    await accepted.accept(SCOPE, _receive, facts, clock.now())
+async def _accept(accepted: accepting.Acceptor) -> None:
+    parsed = headers.read(HEADERS)
+    await accepted.accept(SCOPE, _receive, parsed, clock.now())
 
 
 def test_a_request_waits_while_the_instance_learns_what_is_true() -> None:
@@ -58,7 +58,7 @@
         configured = Configured()
         pauses = pause.Pauses(60.0)
         pauses.hold()
-        accepted = accepting.Accepting(configured, Known(), pauses)
+        accepted = accepting.Acceptor(configured, Known(), pauses)
         asked = asyncio.create_task(_accept(accepted))
         await asyncio.sleep(0.0)
         assert not asked.done()
@@ -77,7 +77,7 @@
     async def run() -> None:
         pauses = pause.Pauses(60.0)
         pauses.hold()
-        accepted = accepting.Accepting(Configured(), Known(), pauses)
+        accepted = accepting.Acceptor(Configured(), Known(), pauses)
         with pytest.raises(exceptions.NotReady):
             await _accept(accepted)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -66,10 +66,20 @@
         """Return a request."""
         now = demands.clock.now()
         pairs = [(b"cassiaquay-attempt-id", b"a%d" % number)]
-        facts = headers.read([*pairs, (b"cassiaquay-token-counts", b"100,20")])
+        parsed = headers.read([*pairs, (b"cassiaquay-token-counts", b"100,20")])
         snapshot = self.configured.current
         return calls.Call(
-            "GET", "/", pairs, facts, b"", ROUTE, "chat", None, snapshot, now, now + 4.0
+            "GET",
+            "/",
+            pairs,
+            parsed,
+            b"",
+            ROUTE,
+            "chat",
+            None,
+            snapshot,
+            now,
+            now + 4.0,
         )
 
     def obtain(self, number: int, **lists) -> "asyncio.Task[admission.Ticket]":
@@ -101,7 +111,7 @@
         permit = messages.Permit("a1", "i-2", 1500, demand.shard)
         site.demands.answer(site.keeper, permit)
         ticket = await asking
-        assert (ticket.server.name, ticket.is_alone) == ("i-2", False)
+        assert (ticket.server.name, ticket.is_without_keeper) == ("i-2", False)
 
     _run(work)
 
@@ -115,7 +125,7 @@
 
     async def work(site: Site) -> None:
         ticket = await site.obtain(1)
-        assert ticket.is_alone
+        assert ticket.is_without_keeper
         assert isinstance(site.keeper.sent[-1], messages.Withdraw)
         late = messages.Permit("a1", "i-1", 1500, ticket.demand.shard)
         site.demands.answer(site.keeper, late)
@@ -135,13 +145,13 @@
         tickets = []
         for number in range(2):
             ticket = await site.obtain(number)
-            site.admission.dispatched(ticket)
+            site.admission.report_dispatched(ticket)
             tickets.append(ticket)
         assert {ticket.server.name for ticket in tickets} == {"i-1", "i-2"}
         with pytest.raises(exceptions.Shed) as refused:
             await site.obtain(3)
         assert refused.value.retry_after_ms > 0
-        site.admission.ended(tickets[0], demands.clock.now(), "completed")
+        site.admission.report_ended(tickets[0], demands.clock.now(), "completed")
         again = await site.obtain(4)
         assert again.server.name == tickets[0].server.name
 
@@ -189,7 +199,7 @@
         shard = site.keeper.sent[0].shard
         site.demands.answer(site.keeper, messages.Queued("a1", shard))
         ticket = await asking
-        assert ticket.is_alone
+        assert ticket.is_without_keeper
 
     _run(work)
 
@@ -279,15 +289,15 @@
         parts = mock.Mock()
         parts.limited.take = mock.AsyncMock(return_value="part")
         parts.reply.refuse = mock.AsyncMock()
-        known = progress.Progress(site.call(1))
+        state = progress.RequestState(site.call(1))
 
         async def obtain(*asked) -> None:
-            known.runs = 0 if returned else 1
+            state.runs = 0 if returned else 1
             ends(*asked)
 
         parts.admitted.obtain = obtain
         parts.crashes.holds.return_value = False
-        await serving.Serving(parts).serve(known, mock.AsyncMock())
+        await serving.RequestHandler(parts).serve(state, mock.AsyncMock())
         assert parts.limited.give_back.call_count == returned
         assert parts.reply.refuse.await_count == 1
 
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -47,5 +47,5 @@
 
 def test_an_event_without_end_is_noticed() -> None:
     splitter = events.Splitter()
-    splitter.feed(b"x" * (events.MOST_EVENT_BYTES + 1))
-    assert splitter.is_over
+    splitter.feed(b"x" * (events.MAX_EVENT_BYTES + 1))
+    assert splitter.is_too_long
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -56,7 +56,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _impatient(monkeypatch) -> None:
+def _short_deadlines(monkeypatch) -> None:
     monkeypatch.setattr(callers, "DEADLINE_SECONDS", DEADLINE_SECONDS)
     monkeypatch.setattr(soak_site, "SMALL_RATE", SMALL_RATE)
     monkeypatch.setattr(soak_site, "SMALL_BURST", 0.0)
@@ -130,27 +130,27 @@
     assert not _play(seed)
 
 
-def _no_mark(monkeypatch) -> None:
+def _forget_dispatches(monkeypatch) -> None:
     """Forget what has been sent."""
-    mark = serving.Serving._mark
+    mark = serving.RequestHandler._mark_dispatched
 
-    def forget(self, known, ticket) -> None:
-        mark(self, known, ticket)
-        known.runs = 0
+    def forget(self, state, ticket) -> None:
+        mark(self, state, ticket)
+        state.runs = 0
 
-    monkeypatch.setattr(serving.Serving, "_mark", forget)
+    monkeypatch.setattr(serving.RequestHandler, "_mark_dispatched", forget)
     monkeypatch.setattr(engines, "FAULTS", ("reset", "silent"))
 
 
-def _repeat_all(monkeypatch) -> None:
+def _repeat_every_request(monkeypatch) -> None:
     """Repeat a cut answer, whatever the request may."""
     monkeypatch.setattr(
-        serving.Serving, "_check_repeat", lambda self, known, error: None
+        serving.RequestHandler, "_check_repeat", lambda self, state, error: None
     )
     monkeypatch.setattr(engines, "FAULTS", ("reset", "truncate"))
 
 
-def _short_is_whole(monkeypatch) -> None:
+def _accept_truncated(monkeypatch) -> None:
     """Take an answer that breaks off for a whole one."""
 
     async def read(answer):
@@ -160,18 +160,18 @@
         except (TimeoutError, aiohttp.ClientError, OSError):
             return
 
-    monkeypatch.setattr(forwarding, "read", read)
+    monkeypatch.setattr(forwarding, "stream_body", read)
     monkeypatch.setattr(engines, "FAULTS", ("truncate",))
 
 
-def _any_order(monkeypatch) -> None:
+def _accept_any_event_order(monkeypatch) -> None:
     """Let a server that begins a stream anew go on with it."""
-    monkeypatch.setattr(passing, "_check_order", lambda known, found: None)
+    monkeypatch.setattr(passing, "_check_event_order", lambda state, found: None)
     monkeypatch.setattr(engines, "FAULTS", ("truncate", "anew"))
     monkeypatch.setattr(sys.modules[__name__], "FAULTY_SHARE", 0.9)
 
 
-def _any_answer(monkeypatch) -> None:
+def _accept_any_answer(monkeypatch) -> None:
     """Take whatever comes on a connection for the answer to what was sent."""
 
     def check(self, call, response) -> forwarding.Answer:
@@ -180,18 +180,18 @@
         pairs = headers.towards_caller(response.headers.items())
         return forwarding.Answer(response, response.status, pairs)
 
-    monkeypatch.setattr(forwarding.Forwarder, "_check", check)
+    monkeypatch.setattr(forwarding.Forwarder, "_check_answer", check)
     monkeypatch.setattr(engines, "FAULTS", ("extra",))
 
 
-def _forged_team(monkeypatch) -> None:
+def _forward_forged_team(monkeypatch) -> None:
     """Pass on the team that a caller names."""
-    own = headers._OWN - {b"cassiaquay-tenant"}
-    monkeypatch.setattr(headers, "_OWN", own)
+    own = headers._RESERVED - {b"cassiaquay-tenant"}
+    monkeypatch.setattr(headers, "_RESERVED", own)
     monkeypatch.setattr(headers, "TEAM", "Other-Header")
 
 
-def _no_limits(monkeypatch) -> None:
+def _ignore_team_limits(monkeypatch) -> None:
     """Look at no limit of teams."""
 
     async def take(self, team, facts, patience=0.0) -> None:
@@ -201,13 +201,13 @@
 
 
 MUTANTS = [
-    (_no_mark, "refused"),
-    (_repeat_all, "twice"),
-    (_short_is_whole, "mixed"),
-    (_any_order, "order"),
-    (_any_answer, "mixed"),
-    (_forged_team, "unasked"),
-    (_no_limits, "quota"),
+    (_forget_dispatches, "refused"),
+    (_repeat_every_request, "twice"),
+    (_accept_truncated, "mixed"),
+    (_accept_any_event_order, "order"),
+    (_accept_any_answer, "mixed"),
+    (_forward_forged_team, "unasked"),
+    (_ignore_team_limits, "quota"),
 ]
 
 
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -200,13 +200,13 @@
 
 
 def test_headers_say_what_a_request_is() -> None:
-    facts = headers.read(CALLER)
-    assert (facts.host, facts.attempt) == ("host.example", "9c41d07be2a35f68")
-    assert (facts.deadline_ms, facts.key) == (1500, "k1")
-    assert (facts.prompt_tokens, facts.most_output_tokens) == (1460, 80)
-    assert facts.output_tokens == 80
-    assert facts.last_event == -1
-    assert [part.tokens for part in facts.parts] == [800, 410, 250]
+    parsed = headers.read(CALLER)
+    assert (parsed.host, parsed.attempt) == ("host.example", "9c41d07be2a35f68")
+    assert (parsed.deadline_ms, parsed.key) == (1500, "k1")
+    assert (parsed.prompt_tokens, parsed.most_output_tokens) == (1460, 80)
+    assert parsed.output_tokens == 80
+    assert parsed.last_event == -1
+    assert [part.tokens for part in parsed.parts] == [800, 410, 250]
     hinted = headers.read([*CALLER, (b"cassiaquay-length-hint", b"30")])
     assert hinted.output_tokens == 30
 
@@ -256,7 +256,7 @@
 
 @hypothesis.given(strategies.binary(max_size=60), strategies.binary(max_size=60))
 def test_no_header_value_stops_a_request(counts: bytes, prefix: bytes) -> None:
-    facts = headers.read(
+    parsed = headers.read(
         [
             (b"cassiaquay-token-counts", counts),
             (b"cassiaquay-prompt-prefix", prefix),
@@ -264,8 +264,8 @@
             (b"last-event-id", prefix),
         ]
     )
-    assert facts.prompt_tokens >= 0
-    assert facts.deadline_ms >= 0
+    assert parsed.prompt_tokens >= 0
+    assert parsed.deadline_ms >= 0
 
 
 def test_no_other_module_spells_a_name_of_the_platform() -> None:
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -34,7 +34,7 @@
             await writer.drain()
 
 
-def _answer(status: int, body: str = "{}") -> bytes:
+def _dispatch_until_answered(status: int, body: str = "{}") -> bytes:
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
 
 
@@ -72,10 +72,10 @@
 @pytest.mark.parametrize(
     "raw",
     [
-        _answer(503),
-        _answer(429),
-        _answer(200, "["),
-        _answer(200, '{"items": 3}'),
+        _dispatch_until_answered(503),
+        _dispatch_until_answered(429),
+        _dispatch_until_answered(200, "["),
+        _dispatch_until_answered(200, '{"items": 3}'),
         b"\x00\x00\r\n\r\n",
         b"",
     ],
@@ -108,7 +108,7 @@
             '{"items": [{"key": "a", "value": "?", "revision": 1},'
             ' {"key": "b", "value": "eA==", "revision": 2}], "current-rev": 9}'
         )
-        served.raw = [_answer(200, body)]
+        served.raw = [_dispatch_until_answered(200, body)]
         found = await store.Store(http, served.address).items("")
         assert [item.value for item in found.items] == [b"", b"x"]
 
@@ -128,11 +128,15 @@
         first = await texts.watch(0, 0.0)
         assert first is not None
         served.put("op/config", b"two")
-        served.raw = [_answer(410)]
+        served.raw = [_dispatch_until_answered(410)]
         second = await texts.watch(first.revision, 1.0)
         assert second is not None
         assert second.text == "two"
-        served.raw = [_answer(200, f'{{"events":[],"current-rev":{second.revision}}}')]
+        served.raw = [
+            _dispatch_until_answered(
+                200, f'{{"events":[],"current-rev":{second.revision}}}'
+            )
+        ]
         assert await texts.watch(second.revision, 1.0) is None
 
     _run(work)
