--- a/packages/daemon/cassiaquay_daemon/gateway/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/__init__.py
@@ -1,6 +1,6 @@
-"""The users' platform towards callers: plain HTTP, passed through to backend servers.
+"""HTTP gateway: accepts callers' requests and proxies them to backend servers.
 
-Callers connect to its listeners; it asks the keepers room for capacity and the
-decisions room for budgets. It must not know the platform's names, which `platform`
-decodes, nor how a keeper decides.
+It obtains capacity through `keepers` and retry budgets through `decisions`. Header
+names and formats of the platform belong to `platform`; how a keeper (which admits
+requests to a shard) decides is not known here.
 """
--- a/packages/daemon/cassiaquay_daemon/gateway/accepting.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/accepting.py
@@ -1,4 +1,4 @@
-"""Callers' requests, checked before anything else looks at them."""
+"""Validates callers' requests and resolves their route and team."""
 
 from .. import exceptions, pause
 from ..configured import routing
@@ -7,36 +7,36 @@
 from ..platform import headers
 from . import calls, replies
 
-# Retry-After before the first configuration is here, or while it may be old.
+# Retry-After while no configuration has been read yet, or it may be outdated.
 NOT_READY_RETRY_MS = 500
-# After a start or a pause an instance knows what is true within some 50 ms, and the
-# callers that connected meanwhile are served then. Whoever would wait longer than the
-# shortest objective in use has a better chance at another instance.
+# After a start or a process pause an instance renews its state within some 50 ms and
+# then serves the requests that arrived meanwhile. A request that waits longer than the
+# shortest objective in use is better retried at another instance.
 RENEWAL_WAIT_SECONDS = 0.4
 
 
 class Acceptor:
-    """Finds the route and the team of requests.
+    """Validates requests and resolves their route and team.
 
     Parameters
     ----------
     configured : Configuration
-        Routes and teams in force.
-    known : Servers
-        How old the configuration may be.
+        Holds the active routes and teams.
+    server_list : Servers
+        Tells whether this instance's view of the platform may be outdated.
     pauses : Pauses
-        Whether this instance knows what is true now.
+        Tells whether this instance's state is current after a start or a pause.
     """
 
     def __init__(
         self,
         configured: configuration.Configuration,
-        known: servers.Servers,
+        server_list: servers.Servers,
         pauses: pause.Pauses,
     ):
         self._pauses = pauses
         self._configured = configured
-        self._servers = known
+        self._servers = server_list
 
     async def accept(
         self,
@@ -45,13 +45,13 @@
         parsed: headers.ParsedHeaders,
         began_at: float,
     ) -> calls.Call:
-        """Return a checked request; raise a Refusal when it cannot be one."""
+        """Return the validated request; raise a Refusal when it is not acceptable."""
         await self._pauses.wait(RENEWAL_WAIT_SECONDS)
         snapshot = self._configured.current
         if snapshot is None or snapshot.routes is None:
             raise exceptions.NotReady(retry_after_ms=NOT_READY_RETRY_MS)
         if not parsed.attempt:
-            raise exceptions.BadRequest("an id of the attempt is needed")
+            raise exceptions.BadRequest("the attempt id header is missing")
         target = scope["raw_path"].decode("latin-1")
         route = snapshot.routes.find(parsed.host, target)
         if route is None or not route.shares:
@@ -88,10 +88,10 @@
         return team
 
     def _or_not_ready(self, refusal: exceptions.Refusal) -> exceptions.Refusal:
-        """Return a refusal that holds also when this configuration may be old.
+        """Return ``refusal``, or a retryable NotReady while the state may be outdated.
 
-        A route or key that was added a moment ago is unknown to an instance that hears
-        neither the platform nor the others: "not now" is true there, "never" is not.
+        An instance that reaches neither the platform nor other instances does not have
+        routes and keys added a moment ago, so it must not refuse them as unknown.
         """
         if self._servers.is_behind:
             return exceptions.NotReady(retry_after_ms=NOT_READY_RETRY_MS)
--- a/packages/daemon/cassiaquay_daemon/gateway/accounting.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/accounting.py
@@ -1,4 +1,4 @@
-"""What became of requests, for metrics and the burn report."""
+"""Reports the outcome of each request to metrics and the error budget report."""
 
 import collections.abc
 
@@ -8,34 +8,34 @@
 from . import progress
 
 EndedListener = collections.abc.Callable[[reports.Finished], None]
-# Gets the refusal, the caller's id of the request and its team, which is not known.
+# Called with the refusal, the caller's attempt id and an empty team name.
 RefusedListener = collections.abc.Callable[[exceptions.Refusal, str, str], None]
 
 
 class Accounting:
-    """Tells whoever listens of each request that has ended."""
+    """Calls the registered listeners for each request that ends."""
 
     def __init__(self) -> None:
         self._listeners: list[EndedListener] = []
         self._refusal_listeners: list[RefusedListener] = []
 
-    def on_ended(self, note: EndedListener) -> None:
-        """Call ``note`` with each request that has ended."""
-        self._listeners.append(note)
+    def on_ended(self, listener: EndedListener) -> None:
+        """Call ``listener`` for each accepted request that ends."""
+        self._listeners.append(listener)
 
-    def on_refused(self, note: RefusedListener) -> None:
-        """Call ``note`` with each refusal that came before the request had a route."""
-        self._refusal_listeners.append(note)
+    def on_refused(self, listener: RefusedListener) -> None:
+        """Call ``listener`` for each request refused before it had a route."""
+        self._refusal_listeners.append(listener)
 
     def record_refused(
         self, parsed: headers.ParsedHeaders, refusal: exceptions.Refusal
     ) -> None:
-        """Note a refusal of a request that has no route, key or sound body."""
-        for note in self._refusal_listeners:
-            note(refusal, parsed.attempt, "")
+        """Report a request refused for its route, its key or its body."""
+        for listener in self._refusal_listeners:
+            listener(refusal, parsed.attempt, "")
 
     def record_abandoned(self, state: progress.RequestState) -> None:
-        """Note that a caller has gone before its request had ended."""
+        """Report a request whose caller disconnected before it ended."""
         lost = (
             exceptions.CallerGoneRunning
             if state.may_have_run
@@ -50,9 +50,9 @@
         code: str,
         first_seconds: float,
     ) -> None:
-        """Note the end of a request."""
+        """Report the end of an accepted request."""
         call = state.call
-        found = reports.Finished(
+        finished = reports.Finished(
             call.service,
             f"rank-{call.rank}",
             call.team_name,
@@ -65,5 +65,5 @@
             call.parsed.prompt_tokens,
             call.parsed.output_tokens,
         )
-        for note in self._listeners:
-            note(found)
+        for listener in self._listeners:
+            listener(finished)
--- a/packages/daemon/cassiaquay_daemon/gateway/admission.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/admission.py
@@ -1,4 +1,8 @@
-"""Capacity for callers' requests: from the keeper, or alone when it is silent."""
+"""Obtains capacity for requests from a keeper, or locally while the keeper is silent.
+
+A keeper admits requests to a shard of backend servers. When it does not reply, the
+instance admits requests itself, within its own share of each server's slots.
+"""
 
 import collections
 import random
@@ -12,23 +16,23 @@
 from ..keepers import demands
 from . import calls
 
-# Retry-After while no server of a service is known: registrations are read again
+# Retry-After while a service has no registered servers: registrations are read again
 # several times in this time.
 NO_SERVERS_RETRY_MS = 600
-# Retry-After while the keeper is silent and this instance's own share is in use: the
-# next keeper has taken over by then.
+# Retry-After while the keeper is silent and this instance's own share is in use:
+# another instance has taken over as keeper by then.
 NO_KEEPER_RETRY_MS = 500
 
 
 class Tally:
-    """Events of an answer so far, as renewals report them to the keeper."""
+    """Counts an answer's events; permit renewals report the count to the keeper."""
 
     def __init__(self) -> None:
         self.count = 0
         self.first_at = 0.0
 
     def add(self, events: int) -> None:
-        """Count events."""
+        """Add ``events`` to the count."""
         if not self.count:
             self.first_at = clock.now()
         self.count += events
@@ -40,15 +44,15 @@
     Attributes
     ----------
     demand : Demand
-        What was asked for.
+        The demand that was sent to the keeper.
     server : Server
-        Where to.
+        The server to dispatch to.
     expires_at : float
-        The dispatch must begin before; seconds on this clock.
+        Time before which the dispatch must begin; seconds on this clock.
     tally : Tally
-        Events of the answer.
-    is_alone : bool
-        Whether it was given without the keeper.
+        Counts the events of the answer.
+    is_without_keeper : bool
+        Whether this instance admitted the request without the keeper.
     """
 
     demand: messages.Demand
@@ -59,16 +63,16 @@
 
 
 class Admission:
-    """Asks for capacity and reports how it was used.
+    """Obtains capacity for requests and reports its use to the keepers.
 
     Parameters
     ----------
     demanded : Demands
-        The way to keepers.
+        Sends demands to the keepers.
     membership : Membership
-        How many instances share the servers.
+        Lists the instances that share the servers.
     cold : SlowStart
-        Which servers only keepers grant for.
+        Tells which servers are cold; only a keeper may admit requests to those.
     """
 
     def __init__(
@@ -85,18 +89,18 @@
     async def obtain(
         self, call: calls.Call, number: int, unreachable: list[str], tried: list[str]
     ) -> Ticket:
-        """Return leave to dispatch; raise Refusal when there is none to be had.
+        """Return a ticket to dispatch the request; raise Refusal for no capacity.
 
         Parameters
         ----------
         call : Call
             The request.
         number : int
-            Counts its dispatches.
-        refused : list of str
+            Ordinal of this demand for the request, from 1.
+        unreachable : list of str
             Servers that could not be reached.
         tried : list of str
-            Servers that had it already.
+            Servers that received the request and gave no usable answer.
         """
         demand = _demand(call, number, unreachable, tried)
         if not call.snapshot.open_servers(call.service):
@@ -111,11 +115,11 @@
         server = call.snapshot.open_server(call.service, permission.server)
         if server is None:
             self._demands.give_back(demand)
-            raise exceptions.NotSent("the server is not in force here")
+            raise exceptions.NotSent("the server is not in this instance's snapshot")
         return Ticket(demand, server, permission.expires_at, Tally(), False)
 
     def report_dispatched(self, ticket: Ticket) -> None:
-        """Note that a ticket is in use."""
+        """Report that the request of a ticket was dispatched."""
         self._outstanding[ticket.server.name] += 1
         demand = ticket.demand
         item = messages.Outstanding(
@@ -130,12 +134,12 @@
         self._demands.dispatched(demand.shard, item, ticket.tally)
 
     def return_unused(self, ticket: Ticket) -> None:
-        """Give a ticket back that was not used."""
+        """Return the capacity of a ticket that was not used."""
         if not ticket.is_without_keeper:
             self._demands.give_back(ticket.demand)
 
     def report_ended(self, ticket: Ticket, sent_at: float, outcome: str) -> None:
-        """Note that a dispatched request has ended."""
+        """Report that a dispatched request has ended."""
         self._outstanding[ticket.server.name] -= 1
         now = clock.now()
         tally = ticket.tally
@@ -157,19 +161,21 @@
     def _obtain_without_keeper(
         self, call: calls.Call, demand: messages.Demand
     ) -> Ticket:
-        # The keeper died, sleeps or is cut off. Each instance then uses its own part
-        # of each server, so that all of them together do not overfill it.
+        # The keeper has crashed, is paused or is partitioned off. Each instance then
+        # uses only its own share of each server's slots, so that all instances together
+        # do not overload it.
         live = max(len(self._membership.serving()), 1)
         best: fleet.Server | None = None
         servers = call.snapshot.open_servers(call.service)
-        # Instances that lose a keeper do so together: in the same order, all of them
+        # All instances lose a keeper at the same time: without shuffling, all of them
         # would send to the same server.
         random.shuffle(servers)
         for server in servers:
             share = max(server.slots // live, 1)
             if server.name in demand.avoid or server.name in demand.tried:
                 continue
-            # What other instances send to it is not known here.
+            # A cold server's limit covers all instances, and this one does not see
+            # what the others send.
             if self._cold.is_cold(server.name):
                 continue
             if self._outstanding[server.name] >= share:
--- a/packages/daemon/cassiaquay_daemon/gateway/calls.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/calls.py
@@ -1,4 +1,4 @@
-"""One caller's request at the gateway, from its headers to its end."""
+"""One accepted attempt of a caller's request, with its route and deadline."""
 
 import typing
 
@@ -6,36 +6,36 @@
 from ..configured import routing, snapshots
 from ..platform import headers
 
-# The caller's clock runs from when it sent the first byte; ours from when the headers
-# were read. Its wait ends a moment before ours would.
+# The caller's timeout starts when it sends the first byte, the gateway's when the
+# headers have been read; the margin makes the gateway's deadline the earlier one.
 DEADLINE_MARGIN_SECONDS = 0.01
 
 
 class Call(typing.NamedTuple):
-    """One attempt of a caller.
+    """One attempt of a caller's request.
 
     Attributes
     ----------
     method, target : str
-        As sent; the target is the path with its query.
+        Method and request target as received; the target is the path with its query.
     headers : list of pairs
-        As sent, names in lower case.
+        Headers as received, names in lower case.
     facts : Facts
-        What the headers say.
+        Values decoded from the headers.
     body : bytes
-        Read whole.
+        The complete body.
     route : Route
-        Where it goes.
+        Route that matches its host and path.
     service : str
-        The service of that route that gets it.
+        Service of the route that was chosen for it.
     team : Team or None
-        Whose key came with it.
+        Team of its API key.
     snapshot : Snapshot
         The configuration that it was accepted under.
     began_at, deadline : float
         Seconds on this clock; the request ends at the deadline.
     content : str
-        Digest of what all attempts of the same request have in common.
+        Digest of what all attempts of one request have in common.
     """
 
     method: str
@@ -58,7 +58,7 @@
 
     @property
     def rank(self) -> int:
-        """Its rank, 0 the most important."""
+        """Priority rank of the request; 0 is the most important."""
         return routing.rank_of(self.team, self.route)
 
     @property
@@ -81,14 +81,14 @@
 
     @property
     def objective_seconds_left(self) -> float:
-        """Seconds until its answer, or first event, is late."""
+        """Seconds until the answer, or its first event, misses the objective."""
         return self.began_at + self.route.objective_seconds - clock.now()
 
 
 def compute_deadline(
     began_at: float, parsed: headers.ParsedHeaders, route: routing.Route
 ) -> float:
-    """Return when a request ends: by the caller's patience or the route's bound."""
+    """Return the earlier of the caller's deadline and the route's timeout."""
     seconds = route.timeout_seconds
     if parsed.deadline_ms:
         seconds = min(seconds, parsed.deadline_ms / 1000.0)
--- a/packages/daemon/cassiaquay_daemon/gateway/connections.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/connections.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers that never repeat a request by themselves."""
+"""Client session for backend servers that never retries a request on its own."""
 
 import functools
 import socket
@@ -9,22 +9,23 @@
 
 from ..adapters import backends
 
-# Servers keep an idle connection for longer; one that is closed under a request leaves
-# its outcome unknown, so connections are given up well before that.
+# Shorter than the servers' own keep-alive time: a server that closes a connection while
+# a request is being sent on it leaves the request's outcome unknown.
 IDLE_SECONDS = 4.0
-# Bytes that a dead or cut-off server does not acknowledge for this long break the
-# connection: without it a request would hang until its deadline.
+# The kernel drops a connection whose data has not been acknowledged for this long;
+# otherwise a request to a crashed or unreachable server would hang until its deadline.
 TCP_USER_TIMEOUT_MS = 2500
 
 
 class _ResetDetectingHandler(client_proto.ResponseHandler):
-    """A connection on which a reset never looks like the end of an answer."""
+    """Response handler that reports a connection reset as a payload error."""
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail an answer that was under way when the connection was reset.
+        """Fail an answer that was being read when the connection was reset.
 
-        An answer without a length ends with its connection. The library takes a reset
-        for that end, too: the caller would get a part that looks whole.
+        An answer without Content-Length ends when the connection closes. aiohttp
+        treats a reset as that end, too, and the caller would get a truncated body that
+        looks complete.
         """
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
@@ -33,11 +34,11 @@
 
 
 def create_session() -> aiohttp.ClientSession:
-    """Return a session for requests that are passed through."""
+    """Return the session for proxied requests."""
     connector = aiohttp.TCPConnector(
         limit=0, keepalive_timeout=IDLE_SECONDS, socket_factory=_create_socket
     )
-    # The library's own hook for its protocol; there is no public one.
+    # aiohttp has no public way to set the protocol class of a connector.
     factory: typing.Any = functools.partial(
         _ResetDetectingHandler, loop=connector._loop
     )
@@ -49,8 +50,8 @@
         trace_configs=[backends.tracing()],
         skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
     )
-    # The library sends a GET again when a kept connection closes under it. It may have
-    # run by then; only the gateway knows whether it may be repeated.
+    # By default aiohttp resends a GET when a kept-alive connection closes during it.
+    # The server may have run it by then; only the gateway may decide on a retry.
     found._retry_connection = False
     return found
 
--- a/packages/daemon/cassiaquay_daemon/gateway/directory.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/directory.py
@@ -1,4 +1,4 @@
-"""Where callers ask which address to use, and where readiness is checked."""
+"""HTTP endpoints for address discovery by callers and for readiness checks."""
 
 import random
 
@@ -14,20 +14,20 @@
 
 
 class Directory:
-    """The handlers of both addresses.
+    """Handlers of the discovery and readiness endpoints.
 
     Parameters
     ----------
     settings : Settings
-        How long answers may be kept.
+        Gives the time for which callers may cache an answer.
     membership : Membership
-        The instances.
+        Lists the instances.
     configured : Configuration
-        Whether this one has a configuration.
+        Tells whether this instance has a configuration.
     pauses : Pauses
-        Whether this one knows what is true now.
+        Tells whether this instance's state is current after a start or a pause.
     served : Front
-        Whether this one shuts down.
+        Tells whether this instance is shutting down.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether callers may send requests to this instance."""
         return (
             not self._front.leaving
             and self._configured.current is not None
@@ -54,20 +54,20 @@
         )
 
     def directory(self) -> applications.Starlette:
-        """Return the application of callers' questions."""
+        """Return the application that answers callers' address lookups."""
         return applications.Starlette(
             routes=[routing.Route(wire.RESOLVE_PATH, self._resolve, methods=["GET"])]
         )
 
     def readiness(self) -> applications.Starlette:
-        """Return the application of readiness checks."""
+        """Return the application that answers readiness checks."""
         return applications.Starlette(
             routes=[routing.Route(wire.READY_PATH, self._ready, methods=["GET"])]
         )
 
     async def _resolve(self, request: web_requests.Request) -> responses.Response:
-        # After a pause the others look dead, and the answer would send all callers
-        # here: a moment's wait for fresh news is enough.
+        # Right after a pause of this process all other members appear dead, and the
+        # answer would direct all callers here; wait for the next membership refresh.
         await self._pauses.wait(self._settings.membership.refresh_seconds)
         addresses = []
         for member in self._membership.serving():
--- a/packages/daemon/cassiaquay_daemon/gateway/events.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/events.py
@@ -1,7 +1,7 @@
-"""A server's stream of events, cut into whole events.
+"""Splits a server's event stream into complete events.
 
-A server may stop in the middle of an event. Only whole events go to the caller, so that
-a stream which goes on at another server continues at an event's beginning.
+A server may fail in the middle of an event. Only complete events are forwarded, so that
+a stream resumed at another server continues at the start of an event.
 """
 
 import typing
@@ -11,65 +11,65 @@
 
 
 class Events(typing.NamedTuple):
-    """Whole events that came together.
+    """Complete events that one read of the stream yielded.
 
     Attributes
     ----------
     data : bytes
         Their bytes, as the server sent them.
-    number : int
-        How many.
+    event_count : int
+        Number of events.
     last : int
-        Number of the last one; -1 when none of them has a number.
+        Id of the last event that has one; -1 when none has.
     first : int
-        Number of the first one; -1 likewise.
+        Id of the first event that has one; -1 when none has.
     """
 
     data: bytes
-    number: int
+    event_count: int
     first: int
     last: int
 
 
 class Splitter:
-    """Collects bytes and gives whole events back."""
+    """Buffers received bytes and returns complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     @property
     def is_empty(self) -> bool:
-        """Whether no part of an event waits for its end."""
-        return not self._rest
+        """Whether no incomplete event is buffered."""
+        return not self._incomplete
 
     @property
     def is_too_long(self) -> bool:
-        """Whether an event is too long to be one."""
-        return len(self._rest) > MAX_EVENT_BYTES
+        """Whether the incomplete event exceeds the size limit."""
+        return len(self._incomplete) > MAX_EVENT_BYTES
 
     def feed(self, data: bytes) -> Events:
-        """Return the events that ``data`` completes."""
-        text = self._rest + data
+        """Buffer ``data`` and return the events that it completes."""
+        text = self._incomplete + data
         end = text.rfind(b"\n\n")
         if end < 0:
-            self._rest = text
+            self._incomplete = text
             return Events(b"", 0, NO_EVENT, NO_EVENT)
-        whole, self._rest = text[: end + 2], text[end + 2 :]
+        whole, self._incomplete = text[: end + 2], text[end + 2 :]
         first, last, count = NO_EVENT, NO_EVENT, 0
         for event in whole.split(b"\n\n"):
             if not event.strip():
                 continue
             count += 1
-            number = _number(event)
-            if number == NO_EVENT:
+            event_id = _event_id(event)
+            if event_id == NO_EVENT:
                 continue
-            last = number
+            last = event_id
             if first == NO_EVENT:
-                first = number
+                first = event_id
         return Events(whole, count, first, last)
 
 
-def _number(event: bytes) -> int:
+def _event_id(event: bytes) -> int:
     for line in event.split(b"\n"):
         name, _, value = line.partition(b":")
         if name != b"id":
--- a/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""One dispatch of a caller's request to one backend server."""
+"""Sends a caller's request to one backend server and reads the answer."""
 
 import collections.abc
 import typing
@@ -13,8 +13,8 @@
 from ..platform import headers
 from . import calls
 
-# Connections are there within a round trip; what takes longer hits a full queue of new
-# connections or a dead machine, and another server answers sooner.
+# A connection takes one round trip. One that takes longer waits in a full accept queue
+# or for a crashed machine, and another server answers sooner.
 CONNECT_SECONDS = 0.5
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 FIRST_REDIRECT_STATUS = 300
@@ -24,16 +24,16 @@
 
 
 class Answer(typing.NamedTuple):
-    """The beginning of a server's answer.
+    """Status and headers of a server's answer, and the response to read its body from.
 
     Attributes
     ----------
     response : ClientResponse
-        Its body is read from here.
+        Response whose body has not been read.
     status : int
-        Its status.
+        HTTP status.
     headers : list of pairs
-        As the caller gets them.
+        Headers to send to the caller.
     """
 
     response: aiohttp.ClientResponse
@@ -42,7 +42,7 @@
 
     @property
     def is_failure(self) -> bool:
-        """Whether the server failed at it."""
+        """Whether the status is a server error."""
         return self.status >= FIRST_SERVER_ERROR_STATUS
 
 
@@ -52,7 +52,7 @@
     Parameters
     ----------
     http : ClientSession
-        As :func:`connections.create_session` returns it.
+        The session that :func:`connections.create_session` returns.
     """
 
     def __init__(self, http: aiohttp.ClientSession):
@@ -66,20 +66,20 @@
         silence: float | None,
         before_sending: BeforeSending,
     ) -> Answer:
-        """Send a request and return the beginning of its answer.
+        """Send a request; return its answer once the headers have arrived.
 
-        ``silence`` is how many seconds the server may send nothing, None for any.
-        ``before_sending`` is called when a connection is there and no byte has been
-        written; it may raise NotSent.
+        ``silence`` is the read timeout in seconds, None for no timeout.
+        ``before_sending`` is called when the connection is established and no byte of
+        the request has been written; it may raise NotSent.
 
         Raises
         ------
         Unreachable
-            There is no connection; no byte was written.
+            The connection failed; no byte was written.
         Declined
-            The server says that it did not run the request.
+            The server reports that it did not run the request.
         StreamCut
-            It may have run.
+            The request was sent and may have run.
         """
         pairs = headers.towards_server(
             call.headers,
@@ -123,14 +123,14 @@
         if headers.NOT_EXECUTED in found or response.status == 421:
             raise exceptions.Declined(f"status {response.status}")
         if found.get(headers.ATTEMPT.decode(), "") != call.parsed.attempt:
-            # Bytes of another request, or of none: a late second answer on a kept
-            # connection would give this caller another one's answer.
-            raise exceptions.StreamCut("the answer is not of this request")
+            # A surplus answer on a kept-alive connection belongs to an earlier request
+            # and may be another caller's.
+            raise exceptions.StreamCut("the answer does not carry this attempt's id")
         return Answer(response, response.status, headers.towards_caller(found.items()))
 
 
 async def read_body(answer: Answer) -> bytes:
-    """Return the body of an answer; raise StreamCut when it breaks off."""
+    """Return the complete body of an answer; raise StreamCut when it is cut off."""
     parts = []
     size = 0
     async for part in stream_body(answer):
@@ -142,7 +142,7 @@
 
 
 async def stream_body(answer: Answer) -> collections.abc.AsyncIterator[bytes]:
-    """Yield the body as it comes; raise StreamCut when it breaks off."""
+    """Yield the body in parts as they arrive; raise StreamCut when it is cut off."""
     try:
         async for part in answer.response.content.iter_any():
             yield part
--- a/packages/daemon/cassiaquay_daemon/gateway/front.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/front.py
@@ -1,4 +1,4 @@
-"""The address of callers' requests."""
+"""ASGI application that receives callers' requests."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 
     Parameters
     ----------
-    accepted : Accepting
-        Checks requests.
-    served : Serving
-        Serves them.
+    accepted : Acceptor
+        Validates requests.
+    served : RequestHandler
+        Serves the accepted requests.
     reply : Replies
-        Told when this instance shuts down.
-    noted : Accounts
-        Told of requests that are refused before they have a route.
+        Builds the answers; announces the shutdown to callers.
+    noted : Accounting
+        Records requests that are refused before they have a route.
     """
 
     def __init__(
@@ -38,11 +38,11 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether this instance shuts down."""
+        """Whether this instance is shutting down."""
         return self._replies.leaving
 
     def leave(self) -> None:
-        """Tell callers with each answer that this instance shuts down."""
+        """Send ``Connection: close`` with each answer from now on."""
         self._replies.leaving = True
 
     async def __call__(
@@ -83,9 +83,9 @@
     def _handle_disconnect(
         self, state: progress.RequestState, work: "asyncio.Task[None]"
     ) -> None:
-        # What waits for a caller that has gone is forgotten and what runs for it is
-        # stopped, so that no server works for nobody. What may not run twice is left
-        # to its end: cut off, its work would be half done.
+        # A request that has not been sent, or that may be repeated, is cancelled: its
+        # server need not work for a caller that has disconnected. A request that may
+        # not run twice runs to its end, because an abort could leave it half done.
         call = state.call
         if call.is_stream or call.route.is_repeatable or not state.may_have_run:
             work.cancel()
--- a/packages/daemon/cassiaquay_daemon/gateway/passing.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/passing.py
@@ -1,4 +1,4 @@
-"""A server's answer on its way to the caller, unchanged."""
+"""Forwards a server's answer to the caller, buffered whole or event by event."""
 
 from .. import exceptions
 from . import admission, events, forwarding, progress, replies
@@ -12,12 +12,12 @@
 ) -> None:
     """Read an answer to its end, then send it.
 
-    Nothing goes out before the whole is here: an answer that breaks off can still be
-    asked for elsewhere, and no caller gets a part that looks whole.
+    Nothing is sent before the body is complete: an answer that is cut off can still be
+    retried at another server, and no caller gets a truncated body that looks complete.
     """
     body = await forwarding.read_body(answer)
     if state.started:
-        # A stream that the caller has a part of cannot go on with other bytes.
+        # Part of a stream has been sent; it cannot continue with a non-stream answer.
         raise exceptions.StreamCut(f"status {answer.status} for the rest of a stream")
     pairs = replies.drop_content_length(answer.headers)
     pairs.append((b"content-length", str(len(body)).encode()))
@@ -33,7 +33,7 @@
     reply: replies.Replies,
     send: replies.Send,
 ) -> None:
-    """Pass events on as they come; raise StreamCut when the stream breaks off."""
+    """Forward events as they arrive; raise StreamCut when the stream is cut off."""
     splitter = events.Splitter()
     if not state.started:
         state.started = True
@@ -43,10 +43,10 @@
         found = splitter.feed(data)
         if splitter.is_too_long:
             raise exceptions.StreamCut("an event is too long")
-        if not found.number:
+        if not found.event_count:
             continue
         _check_event_order(state, found)
-        tally.add(found.number)
+        tally.add(found.event_count)
         if found.last != events.NO_EVENT:
             state.last_event = found.last
         await send(replies.part(found.data, True))
@@ -56,8 +56,8 @@
 
 
 def _check_event_order(state: progress.RequestState, found: events.Events) -> None:
-    # A server that began anew instead of going on, or skipped a part, would give the
-    # caller a stream of two runs: no answer is better than that one.
+    # A server that restarts the stream instead of resuming it, or skips events, would
+    # mix the output of two runs in one answer; breaking the stream is safer.
     if events.NO_EVENT in (found.first, state.last_event):
         return
     if found.first != state.last_event + 1:
--- a/packages/daemon/cassiaquay_daemon/gateway/progress.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/progress.py
@@ -1,10 +1,10 @@
-"""What has become of one caller's request so far."""
+"""Mutable state of one caller's request while it is served."""
 
 from . import calls
 
 
 class RequestState:
-    """One request between its acceptance and its end.
+    """State of one request from its acceptance to its end.
 
     Parameters
     ----------
@@ -14,21 +14,21 @@
     Attributes
     ----------
     runs : int
-        Servers that may have run it.
+        Number of servers that may have run it.
     tries : int
-        Times that capacity was asked for.
+        Number of times that capacity was requested.
     last_event : int
-        Number of the last event that the caller was sent; -1 for none.
+        Id of the last event sent to the caller; -1 for none.
     started : bool
-        Whether the caller has the beginning of an answer.
+        Whether the status and headers of an answer were sent to the caller.
     server : str
-        Server that was chosen last.
+        Name of the server chosen last.
     server_start : str
-        The same, with the start of its process.
+        That server's name with the start time of its process.
     unreachable : list of str
         Servers that could not be reached.
     tried : list of str
-        Servers that got it and did not answer it well.
+        Servers that received it and gave no usable answer.
     """
 
     def __init__(self, call: calls.Call):
@@ -44,11 +44,11 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a server may have run it."""
+        """Whether any server may have run it."""
         return self.runs > 0
 
     @property
     def is_repeatable_now(self) -> bool:
-        """Whether one more server may run it."""
+        """Whether it may be sent to one more server."""
         route = self.call.route
         return route.is_repeatable and self.runs < route.attempts
--- a/packages/daemon/cassiaquay_daemon/gateway/replies.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/replies.py
@@ -1,4 +1,4 @@
-"""Answers towards callers, as ASGI messages."""
+"""Builds the ASGI messages of answers to callers."""
 
 import collections.abc
 import http
@@ -22,21 +22,21 @@
 
 
 class Replies:
-    """Builds answers; tells callers to close their connections during a shutdown."""
+    """Builds answers; adds ``Connection: close`` to them during a shutdown."""
 
     def __init__(self) -> None:
         self.leaving = False
 
     def start(self, status: int, pairs: Pairs) -> Message:
-        """Return the beginning of an answer."""
+        """Return the message with an answer's status and headers."""
         if self.leaving:
-            # Callers learn with their next answer that this connection ends, so that
-            # none of them sends into a closing one.
+            # Callers stop using this connection with the next answer, so that none
+            # sends a request on a connection that is being closed.
             pairs.append((b"connection", b"close"))
         return {"type": "http.response.start", "status": status, "headers": pairs}
 
     async def refuse(self, send: Send, refusal: exceptions.Refusal) -> None:
-        """Send a refusal as a whole answer."""
+        """Send a refusal as a complete answer."""
         body = msgspec.json.encode(
             {
                 "outcome": refusal.outcome,
@@ -56,19 +56,19 @@
 
 
 def part(data: bytes, more: bool) -> Message:
-    """Return a part of an answer's body; the last one when there is no more."""
+    """Return the message with a part of the body; ``more`` tells if others follow."""
     return {"type": "http.response.body", "body": data, "more_body": more}
 
 
 def drop_content_length(pairs: Pairs) -> Pairs:
-    """Return headers without the length of the body."""
+    """Return the headers without Content-Length."""
     return [pair for pair in pairs if pair[0].lower() != b"content-length"]
 
 
 def status_of(refusal: exceptions.Refusal) -> int:
-    """Return the HTTP status of a refusal on this address."""
+    """Return the HTTP status with which the gateway answers a refusal."""
     if isinstance(refusal, exceptions.DeadlineExceeded):
-        # The usual status of a gateway whose server is too slow.
+        # The standard status of a proxy whose backend server is too slow.
         return int(http.HTTPStatus.GATEWAY_TIMEOUT)
     return int(refusal.status)
 
@@ -79,7 +79,7 @@
     began_at: float,
     state: progress.RequestState | None = None,
 ) -> None:
-    """Write the line of a request that did not complete."""
+    """Log the end of a request that did not complete."""
     logs.event(
         "ended",
         id=parsed.attempt,
@@ -95,5 +95,5 @@
 
 
 def elapsed_ms(at: float) -> float:
-    """Return the milliseconds since a time on this clock, for logs."""
+    """Return the milliseconds since ``at``, rounded for logs."""
     return round((clock.now() - at) * 1000.0, 1)
--- a/packages/daemon/cassiaquay_daemon/gateway/service.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/service.py
@@ -1,4 +1,4 @@
-"""The gateway of one instance: its listeners, put together, started and drained."""
+"""Assembles, starts and drains the gateway's listeners in one instance."""
 
 import asyncio
 import contextlib
@@ -26,22 +26,22 @@
 )
 
 # Callers reuse idle connections for most of the configuration's idle timeout. Closing
-# one earlier would lose the request that is just being sent on it.
+# one earlier would lose a request that is being sent on it.
 IDLE_SECONDS = 75
-# Share of the grace time in which a stopping instance still takes new requests. Answers
-# of the directory that name it are mostly over by then, and a stream of five seconds
-# that is taken at the last moment still ends before the process is killed.
+# Share of the grace period in which a draining instance still accepts new requests.
+# Most cached directory answers that name it have expired by then, and a stream of five
+# seconds accepted at the last moment still ends before the process is killed.
 ACCEPTING_SHARE = 0.3
-# Time at the end of the grace time for closing what is left.
+# Time at the end of the grace period for closing the remaining connections.
 CLOSING_SECONDS = 0.4
 POLL_SECONDS = 0.05
-# Without an open request for so long, nothing that was on its way is still to come: the
-# listeners look ten times a second whether they should end.
+# Time without an open request after which the drain ends. The listeners check ten times
+# a second whether to stop, and requests in transit have arrived by then.
 QUIET_SECONDS = 0.5
 
 
 class Shared(typing.NamedTuple):
-    """The parts of the daemon that the gateway uses."""
+    """Components of the daemon that the gateway uses."""
 
     configured: configuration.Configuration
     known: servers.Servers
@@ -54,16 +54,16 @@
 
 
 class Gateway:
-    """The listeners of callers, of the directory and of readiness.
+    """Runs the listeners for requests, the directory and readiness checks.
 
     Parameters
     ----------
     settings : Settings
-        Addresses and the grace time.
+        Listen addresses and the grace period.
     shared : Shared
-        Parts of the daemon.
+        Components of the daemon.
     parts : Parts
-        What requests need.
+        Components that serve requests.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
 
     @property
     def accounting(self) -> accounting.Accounting:
-        """What became of requests."""
+        """Reports the outcomes of requests to its listeners."""
         return self._parts.accounting
 
     def start(self) -> None:
@@ -100,18 +100,18 @@
             self._listen(self._directory.directory(), gateway.directory)
 
     def adopt(self, settings: settings_schema.Settings) -> None:
-        """Take in changed settings: budgets and limits."""
+        """Apply changed settings of retry budgets and team limits."""
         self._parts.budget.adopt(settings)
         self._parts.limited.adopt(settings)
 
     async def drain(self) -> None:
-        """Leave without cutting a request off, within the grace time."""
+        """Stop accepting and complete the open requests within the grace period."""
         loop = asyncio.get_running_loop()
         grace = self._gateway.grace_seconds
         ends_at = loop.time() + grace - CLOSING_SECONDS
         self._front.leave()
         self._membership.farewell()
-        # Callers that asked for addresses just before still come for a while.
+        # Callers that hold a directory answer with this address keep sending requests.
         await asyncio.sleep(grace * ACCEPTING_SHARE)
         for server in self._servers:
             server.should_exit = True
@@ -125,11 +125,11 @@
         await self._parts.forwarder.close()
 
     async def _wait_until_idle(self, ends_at: float) -> None:
-        """Return when no request has been open for a while, or the time is over.
+        """Return when no request was open for QUIET_SECONDS, or at ``ends_at``.
 
-        The listeners notice a moment later that they should end, and what callers sent
-        on kept connections until then is still read: an instance that left at the first
-        moment with nothing open would cut such a request off.
+        The listeners stop with a delay and until then read requests that callers send
+        on kept-alive connections. Returning as soon as no request is open would cut
+        such a request off.
         """
         loop = asyncio.get_running_loop()
         busy_at = loop.time()
@@ -146,7 +146,7 @@
 
 
 def assemble(settings: settings_schema.Settings, shared: Shared) -> Gateway:
-    """Return a gateway, put together from the parts of a daemon."""
+    """Return a gateway built from the components of a daemon."""
     parts = serving.Parts(
         shared.configured,
         admission.Admission(shared.demanded, shared.membership, shared.cold),
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -1,8 +1,8 @@
-"""One accepted request, from its team's limit to its final answer.
+"""Serves one accepted request, from the check of its team's limit to its final answer.
 
-One task for each request, written straight down. The promise is kept here: a request is
-"not run" only while no byte of it has gone to a server, or when each server that got it
-said that it did not run it.
+Each request runs in one task. Invariant: a request is reported as "not run" only if no
+byte of it was sent to a server, or if each server that received it reported that it did
+not run it.
 """
 
 import asyncio
@@ -24,47 +24,48 @@
     replies,
 )
 
-# Retry-After when servers keep refusing or cannot be reached.
+# Retry-After when all servers tried declined the request or could not be reached.
 UNREACHABLE_RETRY_MS = 300
-# Share of the time to its objective that a request may wait for room in its team's
-# limit; the other half is for its slot and its first event.
+# Share of the time to its objective that a request may wait for its team's limit; the
+# rest is for obtaining a slot and for the first event.
 LIMIT_WAIT_SHARE = 0.5
-# Pause before a request whose connection failed asks for another server.
+# Pause before capacity at another server is requested after a failed connection.
 RETRY_PAUSE_SECONDS = 0.01
-# A server that says nothing for so long is taken for silent while its caller, who waits
-# two seconds and more between events, still has time for another one.
+# Read timeout of a stream. Callers wait at least two seconds between events, which
+# leaves time to resume the stream at another server.
 STREAM_SILENCE_SECONDS = 1.2
 MIN_SILENCE_SECONDS = 0.25
-# Prompt tokens a second of a slow engine: long prompts delay the first event.
+# Prefill rate of a slow engine; it lengthens the read timeout for long prompts, which
+# delay the first event.
 SLOW_PREFILL_TOKENS_PER_SECOND = 20_000.0
-# Connections that may fail before a request is refused: servers that crashed are still
-# listed for a while, and two of them together must not cost a request.
+# Dispatches that may fail before sending until the request is refused. Crashed servers
+# stay listed for a while, and two crashed at once must not make a request fail.
 MAX_UNSENT_DISPATCHES = 4
 
 
 class Parts(typing.NamedTuple):
-    """What a request needs on its way.
+    """Components that serve a request.
 
     Attributes
     ----------
     configured : Configuration
-        Looked at again right before the first byte.
+        Configuration; checked again right before the first byte is sent.
     admitted : Admission
-        Capacity.
+        Obtains capacity.
     forwarder : Forwarder
-        The way to servers.
+        Sends requests to servers.
     budget : RetryBudget
-        Repeats.
+        Limits retries.
     crashes : CrashReports
-        Requests that crash servers.
+        Quarantines requests that crash servers.
     limited : Quotas
-        Teams' limits.
+        Enforces the teams' limits.
     pauses : Pauses
-        Whether this process knows what is true now.
+        Tells whether this process's state is current after a start or a pause.
     reply : Replies
-        The way to callers.
-    accounting : Accounts
-        Told of each end.
+        Builds answers to callers.
+    accounting : Accounting
+        Reports the outcome of each request.
     """
 
     configured: configuration.Configuration
@@ -84,14 +85,14 @@
     Parameters
     ----------
     parts : Parts
-        What they need.
+        Components that serve a request.
     """
 
     def __init__(self, parts: Parts):
         self._parts = parts
 
     async def serve(self, state: progress.RequestState, send: replies.Send) -> None:
-        """Serve one request; it has its final answer when this returns."""
+        """Serve one request; return after its final answer has been sent."""
         call = state.call
         self._parts.budget.count(call.service)
         taken: quotas.Taken | None = None
@@ -111,7 +112,7 @@
             )
             await self._end_refused(state, send, late())
         except Exception as error:
-            # Whatever went wrong here, the caller gets an answer that is true.
+            # Also after an unexpected error, the caller gets the correct outcome.
             logs.trouble("request_crashed", id=call.parsed.attempt, cause=repr(error))
             lost = (
                 exceptions.OutcomeUnknown
@@ -126,7 +127,7 @@
     async def _dispatch_until_answered(
         self, state: progress.RequestState, send: replies.Send
     ) -> None:
-        """Dispatch until an answer is whole; raise Refusal for any other end."""
+        """Dispatch until an answer is complete; raise Refusal for any other end."""
         unsent = 0
         while True:
             state.tries += 1
@@ -160,7 +161,7 @@
     def _check_repeat(
         self, state: progress.RequestState, error: exceptions.StreamCut
     ) -> None:
-        """Return when the request may be sent to another server; raise otherwise."""
+        """Return if the request may be sent to another server; raise otherwise."""
         call = state.call
         logs.event(
             "answer_cut",
@@ -179,12 +180,12 @@
             raise exceptions.AnswerLost() from error
         self._check_quarantine(state)
         if not self._parts.budget.take(call.service):
-            raise exceptions.AnswerLost("the budget of repeats is spent") from error
+            raise exceptions.AnswerLost("the retry budget is exhausted") from error
 
     async def _dispatch_once(
         self, state: progress.RequestState, send: replies.Send
     ) -> None:
-        """Dispatch once and pass the answer on."""
+        """Dispatch once and forward the answer to the caller."""
         call = state.call
         ticket = await self._parts.admitted.obtain(
             call, state.tries, state.unreachable, state.tried
@@ -203,7 +204,7 @@
         try:
             outcome = await self._exchange(state, ticket, send, before_sending)
         except exceptions.Declined as error:
-            # The server's own word that it did not run it: nothing has happened.
+            # The server reports that it did not run the request.
             state.runs -= 1
             outcome = "declined"
             state.tried.append(ticket.server.name)
@@ -234,7 +235,7 @@
         send: replies.Send,
         before_sending: forwarding.BeforeSending,
     ) -> str:
-        """Send a request and pass its answer on; return how it ended."""
+        """Send a request and forward its answer; return the outcome for the keeper."""
         call = state.call
         answer = await self._parts.forwarder.send(
             call,
@@ -254,8 +255,8 @@
             else:
                 await passing.pass_buffered(state, answer, self._parts.reply, send)
         finally:
-            # The server stops working on a request whose connection closes; the
-            # connection of an answer that was read to its end is kept.
+            # Closing the connection makes the server stop a request that still runs.
+            # After a completely read answer, the connection stays in the pool.
             answer.response.close()
         self._log_completed(state, answer.status, ticket.tally)
         return "failed" if answer.is_failure else "completed"
@@ -263,9 +264,9 @@
     def _check_before_sending(
         self, state: progress.RequestState, ticket: admission.Ticket
     ) -> None:
-        # The last look before the first byte. A process that was paused wakes up here
-        # with a ticket that is over, a server that has left or a key that was taken
-        # away: nothing may be sent on what was true before.
+        # Last check before the first byte. After a pause of this process the ticket may
+        # have expired, the server left or the key been revoked; nothing may be sent on
+        # outdated state.
         call = state.call
         self._check_quarantine(state)
         if not self._parts.pauses.current:
@@ -274,13 +275,13 @@
             raise exceptions.NotSent("the permit has expired")
         snapshot = self._parts.configured.current
         if snapshot is None or snapshot.routes is None:
-            raise exceptions.NotSent("no configuration")
+            raise exceptions.NotSent("there is no configuration")
         if snapshot.open_server(call.service, ticket.server.name) is None:
-            raise exceptions.NotSent("the server has left or is evacuated")
+            raise exceptions.NotSent("the server is deregistered or evacuated")
         if snapshot is call.snapshot or _is_allowed(call, snapshot.routes):
             return
         raise exceptions.NotReady(
-            "the route or key has gone", retry_after_ms=accepting.NOT_READY_RETRY_MS
+            "the route or key was removed", retry_after_ms=accepting.NOT_READY_RETRY_MS
         )
 
     def _check_quarantine(self, state: progress.RequestState) -> None:
@@ -293,7 +294,8 @@
     def _mark_dispatched(
         self, state: progress.RequestState, ticket: admission.Ticket
     ) -> None:
-        # From here on it may run: only the server's own word unmarks it.
+        # From here on the request may run. Only a server that reports that it did not
+        # run it takes this back.
         state.runs += 1
         self._parts.admitted.report_dispatched(ticket)
         call = state.call
@@ -323,8 +325,8 @@
         outcome = refusal.outcome or "not_run"
         self._parts.accounting.record_ended(state, outcome, refusal.code, 0.0)
         if state.started:
-            # The caller has a part: returning without its end breaks the connection,
-            # so that the part does not look whole.
+            # Part of an answer was sent. Returning without its last message makes the
+            # listener break the connection, so that the part does not look complete.
             return
         await self._parts.reply.refuse(send, refusal)
 
@@ -360,19 +362,19 @@
 
 
 class _RetryableFailure(Exception):
-    """A server failed at a request that may be, and will be, sent to another."""
+    """A server answered with an error, and the request is retried at another one."""
 
 
 def _unserved_refusal(state: progress.RequestState) -> exceptions.Refusal:
     if state.may_have_run:
         return exceptions.AnswerLost()
     return exceptions.ServerDeclined(
-        "no server took it", retry_after_ms=UNREACHABLE_RETRY_MS
+        "no server accepted the request", retry_after_ms=UNREACHABLE_RETRY_MS
     )
 
 
 def _is_allowed(call: calls.Call, found: routing.Routing) -> bool:
-    """Tell whether a newer configuration still lets a request through."""
+    """Return whether a newer configuration still allows the request."""
     route = found.find(call.parsed.host, call.target.partition("?")[0])
     if route is None or call.service not in {share.service for share in route.shares}:
         return False
@@ -383,9 +385,9 @@
 
 
 def _silence_seconds(state: progress.RequestState) -> float | None:
-    """Return how long a server may say nothing before another one is asked.
+    """Return the read timeout after which the request goes to another server.
 
-    None where nobody else may be asked: then the deadline ends it.
+    None if it may not be retried: then only its deadline ends it.
     """
     call = state.call
     if not state.is_repeatable_now:
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -24,7 +24,7 @@
         found = splitter.feed(STREAM[start:end])
         out += found.data
         assert out.endswith(b"\n\n") or not out
-        numbers += [found.first, found.last] if found.number else []
+        numbers += [found.first, found.last] if found.event_count else []
     assert out == STREAM
     assert splitter.is_empty
     assert numbers == sorted(numbers)
@@ -33,16 +33,16 @@
 
 def test_a_part_of_an_event_waits_for_its_end() -> None:
     splitter = events.Splitter()
-    assert splitter.feed(b"id: 3\nda").number == 0
+    assert splitter.feed(b"id: 3\nda").event_count == 0
     assert not splitter.is_empty
     found = splitter.feed(b"ta: x\n\nid: 4\n")
-    assert (found.number, found.first, found.last) == (1, 3, 3)
+    assert (found.event_count, found.first, found.last) == (1, 3, 3)
     assert not splitter.is_empty
 
 
 def test_events_without_numbers_are_counted() -> None:
     found = events.Splitter().feed(b": note\n\ndata: x\n\n")
-    assert (found.number, found.first, found.last) == (2, -1, -1)
+    assert (found.event_count, found.first, found.last) == (2, -1, -1)
 
 
 def test_an_event_without_end_is_noticed() -> None:
