--- a/packages/daemon/cassiaquay_daemon/adapters/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/__init__.py
@@ -1,5 +1,5 @@
-"""How a request is sent to one backend server and how its answer is read.
+"""Protocol adapters: send a request to one backend server and read its answer.
 
-A registry of adapters, chosen by the fleet text; the owners' dispatch calls them. It
-must not know why this server was chosen, nor whether the request may be sent again.
+The fleet text (the operator's configuration) selects an adapter from a registry; the
+owners' dispatch calls it. Choosing the server and deciding on retries happens there.
 """
--- a/packages/daemon/cassiaquay_daemon/adapters/answers.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/answers.py
@@ -1,4 +1,4 @@
-"""Answers in the making: events kept from the first on, for any number of readers."""
+"""Buffers the events of an answer while it is received, for any number of readers."""
 
 import asyncio
 import typing
@@ -8,9 +8,9 @@
 
 from .. import clock
 
-# What an event takes beside its bytes: without it, answers of many short events would
-# hold more than twice the memory that they are allowed (docs/experiments/outcomes.md).
-EVENT_BYTES = 48
+# Memory overhead of an event object. If it were not counted, answers of many short
+# events would use more than twice their memory limit (docs/experiments/outcomes.md).
+EVENT_OVERHEAD_BYTES = 48
 
 
 class Final(typing.TypedDict):
@@ -26,26 +26,26 @@
 
 
 class Ledger:
-    """Bytes that many answers and requests hold together."""
+    """Counts the bytes that many answers and requests hold together."""
 
     def __init__(self) -> None:
         self.used = 0
 
     def add(self, size: int) -> None:
-        """Count ``size`` bytes more; fewer when negative."""
+        """Add ``size`` bytes to the count; a negative size subtracts."""
         self.used += size
 
 
 class Answer:
     """The events of one answer and, once known, its final event.
 
-    Only bytes that came from the backend server for this id are ever appended; readers
-    start where they like and get the same bytes.
+    Only bytes that the backend server sent for this id are appended. Readers may start
+    at any event, and all of them get identical bytes.
 
     Parameters
     ----------
     ledger : Ledger, optional
-        Counts the bytes.
+        Counts the buffered bytes.
     """
 
     def __init__(self, ledger: Ledger | None = None) -> None:
@@ -62,7 +62,7 @@
 
     @property
     def count(self) -> int:
-        """Events so far."""
+        """Number of events so far."""
         return self._count
 
     @property
@@ -71,9 +71,9 @@
         return self._digest.hexdigest()
 
     def open(self) -> None:
-        """Note that a backend server has the answer and sends it."""
+        """Mark that a backend server has begun to send the answer."""
         self.opened = True
-        self._wake()
+        self._wake_waiters()
 
     def append(self, data: bytes) -> None:
         """Append one event with ``data`` as its payload."""
@@ -83,9 +83,9 @@
         self._events.append(event)
         self._count += 1
         self._digest.update(data)
-        self.size += len(event) + EVENT_BYTES
-        self._ledger.add(len(event) + EVENT_BYTES)
-        self._wake()
+        self.size += len(event) + EVENT_OVERHEAD_BYTES
+        self._ledger.add(len(event) + EVENT_OVERHEAD_BYTES)
+        self._wake_waiters()
 
     def finish(
         self,
@@ -95,7 +95,7 @@
         retry_after_ms: int = 0,
         address: str = "",
     ) -> None:
-        """End the answer; what was said first stays."""
+        """End the answer; do nothing if it has ended."""
         if self.final is not None:
             return
         self.set_final(outcome, code, message, retry_after_ms, address)
@@ -108,7 +108,7 @@
         retry_after_ms: int = 0,
         address: str = "",
     ) -> None:
-        """End the answer, also when it was ``outcome_unknown`` so far."""
+        """Set the final event, also in place of an earlier ``outcome_unknown``."""
         self.final = Final(
             outcome=outcome,
             code=code,
@@ -118,25 +118,25 @@
             retry_after_ms=retry_after_ms,
             address=address,
         )
-        self._wake()
+        self._wake_waiters()
 
     async def wait_open(self) -> None:
-        """Return when a backend server sends the answer, or it has ended."""
+        """Wait until a backend server sends the answer, or it has ended."""
         while not self.opened and self.final is None:
-            await self._change()
+            await self._wait_for_change()
 
     async def wait(self, after: int) -> None:
-        """Return when there is an event of number ``after``, or the final one."""
+        """Wait until there is an event with number ``after``, or the final event."""
         while self._count <= after and self.final is None:
-            await self._change()
+            await self._wait_for_change()
 
     def chunk(self, after: int) -> tuple[bytes, int]:
-        """Return the ready events from ``after`` on as bytes, and the next number."""
+        """Return the events from number ``after`` on as bytes, and the next number."""
         events = self._events[after:]
         return b"".join(events), after + len(events)
 
     def forget(self) -> None:
-        """Let the events go; count, digest and final event stay."""
+        """Free the events; keep the count, the digest and the final event."""
         self.forgotten = True
         self._ledger.add(-self.size)
         self.size = 0
@@ -146,12 +146,12 @@
         """Return the final event as bytes."""
         return b"event: final\ndata: %b\n\n" % msgspec.json.encode(self.final)
 
-    async def _change(self) -> None:
+    async def _wait_for_change(self) -> None:
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         await waiter
 
-    def _wake(self) -> None:
+    def _wake_waiters(self) -> None:
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.done():
--- a/packages/daemon/cassiaquay_daemon/adapters/backends.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/backends.py
@@ -1,6 +1,6 @@
-"""Backend servers: how a request is dispatched, read, resumed and cancelled.
+"""Adapters that dispatch, read, resume and cancel requests at backend servers.
 
-Another protocol needs a class registered here under a name, or in a module of its own.
+To support another protocol, register a class here or in a module of its own.
 """
 
 import asyncio
@@ -19,18 +19,18 @@
 CONNECT_SECONDS = 2.0
 CANCEL_SECONDS = 3.0
 RESUME_TRIES = 3
-RESUME_PAUSE = 0.1
+RESUME_PAUSE_SECONDS = 0.1
 
 BeforeSending = collections.abc.Callable[[], None]
 
 
 class Call(typing.NamedTuple):
-    """One request as a backend server gets it.
+    """One request as it is sent to a backend server.
 
     Attributes
     ----------
     key : str
-        Id under which the server knows it.
+        Id of the request at the server.
     model, adapter : str
         For model engines.
     prompt : str
@@ -53,7 +53,7 @@
 
 
 class TokenUsage(typing.NamedTuple):
-    """What a finished request cost, in tokens."""
+    """Tokens that a finished request used."""
 
     prompt_tokens: int
     cached_tokens: int
@@ -61,7 +61,7 @@
 
 
 class WastedTokens(typing.NamedTuple):
-    """What a cancelled request had cost, in tokens."""
+    """Tokens that a request used before it was cancelled."""
 
     prefilled_tokens: int
     generated_tokens: int
@@ -89,24 +89,25 @@
     ) -> TokenUsage:
         """Dispatch a request and read its answer to the end.
 
-        ``before_sending`` is called when a connection is there and no byte has been
-        written; it may raise :class:`~exceptions.NotSent` to stop the dispatch.
+        ``before_sending`` is called when the connection is established and no byte of
+        the request has been written; it may raise :class:`~exceptions.NotSent` to stop
+        the dispatch.
         """
 
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
     ) -> TokenUsage:
-        """Read a stream that the server holds on from where ``answer`` ends."""
+        """Read a stream that the server still holds, from the end of ``answer`` on."""
 
     async def cancel(self, server: fleet.Server, key: str) -> WastedTokens | None:
-        """Stop a request; return what it had cost, None where that is not known."""
+        """Stop a request; return the tokens that it used, None if unknown."""
 
 
 backends: registry.Registry[type[Backend]] = registry.Registry("backend adapter")
 
 
 def tracing() -> aiohttp.TraceConfig:
-    """Return the hooks that call ``before_sending`` for each dispatch."""
+    """Return the aiohttp hooks that call ``before_sending`` for each dispatch."""
 
     async def connected(
         session: aiohttp.ClientSession,
@@ -135,7 +136,7 @@
 
 
 def _timeout() -> aiohttp.ClientTimeout:
-    # The owner's task ends a request at its deadline; the client sets none.
+    # The owner's task ends a request at its deadline, so the client needs no timeout.
     return aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
 
 
@@ -155,7 +156,7 @@
         answer: answers.Answer,
         before_sending: BeforeSending,
     ) -> TokenUsage:
-        """Dispatch a request and read its stream, resuming it when it breaks off."""
+        """Dispatch a request and read its stream; resume the stream if it is cut."""
         body = {
             "prompt": call.prompt,
             "max_tokens": call.max_tokens,
@@ -182,12 +183,12 @@
             raise exceptions.NotSent(str(error)) from error
         except (TimeoutError, aiohttp.ClientError, OSError):
             pass
-        return await self._resume_often(server, call.key, answer)
+        return await self._resume_with_retries(server, call.key, answer)
 
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
     ) -> TokenUsage:
-        """Read a held stream on from where ``answer`` ends."""
+        """Read a stream that the engine still holds, from the end of ``answer`` on."""
         request = self._http.get(
             f"http://{server.address}/v1/streams/{key}?from={answer.count}",
             timeout=_timeout(),
@@ -200,7 +201,7 @@
                 answer.open()
                 return await _read(response, answer)
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            raise breaks.cut(error) from error
+            raise breaks.to_stream_cut(error) from error
 
     async def cancel(self, server: fleet.Server, key: str) -> WastedTokens | None:
         """Stop a stream."""
@@ -218,19 +219,19 @@
             return None
         return WastedTokens(found["prefilled_tokens"], found["generated_tokens"])
 
-    async def _resume_often(
+    async def _resume_with_retries(
         self, server: fleet.Server, key: str, answer: answers.Answer
     ) -> TokenUsage:
-        # Reading a held stream again is no second dispatch: the engine knows the id
-        # and neither prefills nor generates anew.
-        kind: type[exceptions.StreamCut] = exceptions.StreamCut
+        # Resuming a stream is not a second dispatch: the engine finds it by its id and
+        # neither prefills nor generates again.
+        error_type: type[exceptions.StreamCut] = exceptions.StreamCut
         for _ in range(RESUME_TRIES):
             try:
                 return await self.resume(server, key, answer)
             except exceptions.StreamCut as error:
-                kind = type(error)
-                await asyncio.sleep(RESUME_PAUSE)
-        raise kind(f"the stream of {server.name} broke off for good")
+                error_type = type(error)
+                await asyncio.sleep(RESUME_PAUSE_SECONDS)
+        raise error_type(f"the stream of {server.name} could not be resumed")
 
 
 @backends.register("plain-http")
@@ -269,8 +270,8 @@
         except aiohttp.ConnectionTimeoutError as error:
             raise exceptions.NotSent(str(error)) from error
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            # It may have run; plain services hold no answers to be read again.
-            raise breaks.cut(error) from error
+            # The request may have run, and plain services keep no answer to read again.
+            raise breaks.to_stream_cut(error) from error
         try:
             msgspec.json.decode(body)
         except msgspec.DecodeError as error:
@@ -281,11 +282,11 @@
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
     ) -> TokenUsage:
-        """Plain services hold nothing."""
+        """Raise StreamMissing: plain services keep no answers."""
         raise exceptions.StreamMissing(key)
 
     async def cancel(self, server: fleet.Server, key: str) -> WastedTokens | None:
-        """Plain services cannot be stopped."""
+        """Return None: plain services cannot stop a request."""
         return None
 
 
@@ -297,7 +298,7 @@
     if response.status in (400, 503):
         raise exceptions.Declined(message)
     if response.status == 409:
-        # The engine knows the id: read what it holds rather than run it again.
+        # The engine already has this id: resume its stream instead of running it again.
         raise exceptions.StreamCut(message)
     raise exceptions.Rejected(message)
 
@@ -310,19 +311,19 @@
         for block in blocks:
             head, _, payload = block.partition(b"\ndata: ")
             if head == b"event: done":
-                return _figures(payload, answer)
+                return _final_usage(payload, answer)
             if head != b"id: %d" % answer.count:
-                # A gap or a repeat would make the answer another one.
+                # A missing or repeated event would change the answer.
                 raise exceptions.StreamCut(f"event out of order: {head[:40]!r}")
             answer.append(payload)
-    raise exceptions.StreamCut("the stream ended without its last event")
+    raise exceptions.StreamCut("the stream ended without its done event")
 
 
-def _figures(payload: bytes, answer: answers.Answer) -> TokenUsage:
+def _final_usage(payload: bytes, answer: answers.Answer) -> TokenUsage:
     try:
         done = msgspec.json.decode(payload, type=_DoneBody)
     except msgspec.DecodeError as error:
         raise exceptions.StreamCut(str(error)) from error
     if done["count"] != answer.count:
-        raise exceptions.StreamCut(f"{answer.count} events of {done['count']}")
+        raise exceptions.StreamCut(f"got {answer.count} events of {done['count']}")
     return TokenUsage(done["prompt_tokens"], done["cached_tokens"], answer.count)
--- a/packages/daemon/cassiaquay_daemon/adapters/breaks.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/breaks.py
@@ -1,12 +1,12 @@
-"""Why an answer broke off: a closed connection, silence or invalid bytes."""
+"""Classifies why an answer was cut: closed connection, timeout or invalid bytes."""
 
 import aiohttp
 
 from .. import exceptions
 
 
-def cut(error: Exception) -> exceptions.StreamCut:
-    """Return the error that an error of the HTTP client stands for."""
+def to_stream_cut(error: Exception) -> exceptions.StreamCut:
+    """Return the StreamCut that corresponds to an error of the HTTP client."""
     if isinstance(error, TimeoutError):
         return exceptions.StreamCut(repr(error))
     if isinstance(error, (aiohttp.ClientPayloadError, OSError)):
--- a/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
@@ -105,7 +105,7 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise exceptions.Unreachable(repr(error)) from error
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            raise breaks.cut(error) from error
+            raise breaks.to_stream_cut(error) from error
         try:
             return self._check_answer(call, response)
         except exceptions.BackendError:
@@ -147,4 +147,4 @@
         async for part in answer.response.content.iter_any():
             yield part
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-        raise breaks.cut(error) from error
+        raise breaks.to_stream_cut(error) from error
--- a/packages/daemon/cassiaquay_daemon/interface/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/interface/__init__.py
@@ -1,6 +1,6 @@
-"""The own HTTP interface towards callers: requests in, events out, relay to owners.
+"""HTTP interface for callers: accepts requests, streams events, relays to owners.
 
-Callers of the product's own library come in here; callers of the platform's plain
-HTTP use the gateway instead. It must not decide anything about a request but whether
-it is well formed and whose it is.
+It serves the product's own caller library; plain HTTP callers of the platform use the
+gateway instead. It checks only that a request is well formed and which team and owner
+(the instance that keeps the request's state) it belongs to.
 """
--- a/packages/daemon/cassiaquay_daemon/interface/addresses.py
+++ b/packages/daemon/cassiaquay_daemon/interface/addresses.py
@@ -1,4 +1,4 @@
-"""Which instances callers should use: live, near, lightly loaded, never leaving."""
+"""Selects the instances that a caller should use: live, near and lightly loaded."""
 
 import random
 import typing
@@ -14,7 +14,7 @@
 
 
 class Address(typing.TypedDict):
-    """One address of an answer."""
+    """One instance in the answer to an address lookup."""
 
     address: str
     instance: str
@@ -23,7 +23,7 @@
 
 
 class AddressAnswer(typing.TypedDict):
-    """What a caller gets that asks for addresses."""
+    """Answer to an address lookup."""
 
     keep_seconds: float
     addresses: list[Address]
@@ -34,7 +34,7 @@
 ) -> AddressAnswer:
     """Return the addresses for a caller in ``domain``, best first."""
     serving = membership.serving()
-    ranked = sorted(serving, key=lambda member: _key(member, domain))
+    ranked = sorted(serving, key=lambda member: _ranking_key(member, domain))
     found = []
     for member in ranked[:MAX_ADDRESSES]:
         found.append(
@@ -42,31 +42,31 @@
                 address=member.http,
                 instance=member.instance,
                 domain=member.domain,
-                token=_token(settings, membership, member),
+                token=_member_token(settings, membership, member),
             )
         )
     return AddressAnswer(keep_seconds=settings.owner.keep_seconds, addresses=found)
 
 
-def _key(member: messages.Member, domain: str) -> float:
-    # Each instance draws an exponential time at the rate of its weight, the earliest
-    # is first: it is first with a chance in proportion to its weight. So callers
-    # spread evenly however many ask between two heartbeats, and a near instance is
-    # preferred until it has about DOMAIN_WEIGHT ** 0.5 times the load of a far one.
+def _ranking_key(member: messages.Member, domain: str) -> float:
+    # Weighted random order: an exponential draw at the rate of its weight puts each
+    # instance first with a probability in proportion to its weight. So callers spread
+    # evenly however many ask between two heartbeats, and an instance in the caller's
+    # domain is preferred up to about DOMAIN_WEIGHT ** 0.5 times the load of another.
     weight = 1.0 / (1.0 + member.load) ** 2
     if member.domain == domain:
         weight *= DOMAIN_WEIGHT
     return random.expovariate(weight)
 
 
-def _token(
+def _member_token(
     settings: settings_schema.Settings,
     membership: members.Membership,
     member: messages.Member,
 ) -> str:
-    # Every instance knows the shared key and a time of each other one's clock that is
-    # never ahead of it: it makes the token itself, so that tokens, which last a
-    # minute, need not be told to hundreds of instances all the time.
+    # Each instance has the shared key and a lower bound of every other instance's
+    # uptime, so it mints their tokens itself. Tokens last a minute; distributing them
+    # to hundreds of instances would cost constant traffic.
     if member.instance == settings.instance:
         return membership.mint()
     expiry = membership.uptime(member.instance) + settings.owner.token_seconds
--- a/packages/daemon/cassiaquay_daemon/interface/bodies.py
+++ b/packages/daemon/cassiaquay_daemon/interface/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies and headers of callers' requests, bounded in size and time."""
+"""Reads bodies of callers' requests within limits of size and time."""
 
 import asyncio
 
@@ -15,8 +15,8 @@
 async def read(request: web_requests.Request, settings: settings_schema.Owner) -> bytes:
     """Return the body; raise a coded refusal for one that is not acceptable.
 
-    A caller that sends a byte now and then would hold memory and a connection for
-    ever; the whole body has to come within ``settings.body_seconds``.
+    The complete body must arrive within ``settings.body_seconds``; otherwise a caller
+    that sends single bytes would occupy memory and a connection indefinitely.
     """
     _check_headers(request)
     try:
@@ -25,7 +25,7 @@
     except TimeoutError as error:
         raise exceptions.SlowBody() from error
     except web_requests.ClientDisconnect as error:
-        raise exceptions.SlowBody("the caller left before the body ended") from error
+        raise exceptions.SlowBody("the caller disconnected within the body") from error
     if body and _content_type(request) != JSON_TYPE:
         raise exceptions.WrongType()
     return body
--- a/packages/daemon/cassiaquay_daemon/interface/holds.py
+++ b/packages/daemon/cassiaquay_daemon/interface/holds.py
@@ -1,9 +1,10 @@
-"""Keep a request alive at its owner while another instance reads its stream.
+"""Keeps a request alive at its owner while another instance reads its stream.
 
-The failure: an owner is paused or cut off, its caller goes on at another instance and
-reads the stream from the engine. The owner comes back, sees that its caller has gone,
-and after the grace time stops the engine's stream: the caller loses an answer that was
-nearly whole. A connection to the owner that waits for the end counts as a reader there.
+If an owner is paused or partitioned off, its caller continues at another instance,
+which reads the stream from the engine. When the owner recovers, it finds its caller
+disconnected and stops the engine's stream after the grace period, which cuts the
+answer off. A hold prevents this: a connection to the owner that waits for the end of
+the request and counts as a reader there.
 """
 
 import asyncio
@@ -14,9 +15,9 @@
 from ..owners import tokens
 from . import relay
 
-TRY_SECONDS = 0.3
-# Past any event that an answer can have: only its end is waited for.
-PAST_THE_END = 999_999_999
+RETRY_SECONDS = 0.3
+# Higher than any event number, so that the owner sends only the end of the answer.
+AFTER_LAST_EVENT = 999_999_999
 
 
 class Holds:
@@ -25,9 +26,9 @@
     Parameters
     ----------
     passing : Relay
-        The way to owners.
+        Sends requests to owners.
     last_heard : callable
-        Returns what was heard last of an instance, also when it is silent now.
+        Returns the last membership record of an instance, also of a silent one.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
     def start(
         self, request_id: tokens.RequestId, headers: dict[str, str]
     ) -> collections.abc.Callable[[], None]:
-        """Hold a request at its owner; return what ends that."""
+        """Hold a request at its owner; return a function that ends the hold."""
         task = asyncio.create_task(self._hold(request_id, headers))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -55,11 +56,11 @@
     async def _hold(
         self, request_id: tokens.RequestId, headers: dict[str, str]
     ) -> None:
-        target = f"/v1/requests/{request_id.text}?from={PAST_THE_END}"
+        target = f"/v1/requests/{request_id.text}?from={AFTER_LAST_EVENT}"
         while True:
             owner = self._last_heard(request_id.instance)
             if owner is not None and owner.incarnation != request_id.incarnation:
-                # A new life of the instance knows nothing of the request.
+                # The instance has restarted and lost the request's state.
                 return
             if owner is not None:
                 try:
@@ -67,4 +68,4 @@
                     return
                 except relay.OwnerUnreachable:
                     pass
-            await asyncio.sleep(TRY_SECONDS)
+            await asyncio.sleep(RETRY_SECONDS)
--- a/packages/daemon/cassiaquay_daemon/interface/relay.py
+++ b/packages/daemon/cassiaquay_daemon/interface/relay.py
@@ -1,4 +1,4 @@
-"""Requests whose owner is another instance: passed on, one hop at most."""
+"""Relays requests to the instance that owns them, over one hop at most."""
 
 import asyncio
 import collections.abc
@@ -14,25 +14,25 @@
 
 HOP_HEADER = "X-Cassiaquay-Hop"
 CONNECT_SECONDS = 1.0
-LOOK_SECONDS = 0.25
+POLL_SECONDS = 0.25
 PASSED_HEADERS = ("authorization", "content-type")
 
 
 class OwnerUnreachable(exceptions.DaemonError):
-    """The owner gave no answer; what became of the request must be found elsewhere."""
+    """The owner gave no answer; the outcome must be recovered from the engines."""
 
     code = "owner_unreachable"
 
 
 class RelayedResponse:
-    """An ASGI response that passes an owner's response on as it arrives.
+    """An ASGI response that forwards an owner's response as it arrives.
 
     Parameters
     ----------
     response : ClientResponse
-        The owner's, its body not yet read.
+        The owner's response; its body has not been read.
     is_gone : callable
-        Tells whether the owner is not heard of any more.
+        Returns whether the owner has left the membership or restarted.
     """
 
     def __init__(
@@ -46,14 +46,14 @@
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
-        """Pass status, type and body on; end without a last chunk when it breaks."""
+        """Forward status, type and body; omit the last chunk if the relay is cut."""
         passing = asyncio.create_task(self._pass(send))
         watching = asyncio.create_task(streams.disconnected(receive))
-        # A paused owner keeps its connections open and says nothing: its caller would
-        # wait for as long as the pause lasts. Cut off, it comes again, and the stream
-        # is read on from the engine.
-        losing = asyncio.create_task(_until(self._is_gone))
-        tasks = {passing, watching, losing}
+        # A paused owner keeps its connections open and sends nothing, so the caller
+        # would wait for the whole pause. When the relay is cut, the caller reconnects
+        # and the stream is resumed from the engine.
+        watching_owner = asyncio.create_task(_wait_until(self._is_gone))
+        tasks = {passing, watching, watching_owner}
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -87,16 +87,16 @@
 
 
 class Relay:
-    """Passes requests on to their owners.
+    """Relays requests to their owners.
 
     Parameters
     ----------
     settings : Settings
-        Name of this instance.
+        Gives the name of this instance.
     http : ClientSession
-        Connections to the other instances.
+        Client session for the other instances.
     find : callable
-        Returns a live member by name, or None.
+        Returns a live member by its instance name, or None.
     """
 
     def __init__(
@@ -119,7 +119,7 @@
         body: bytes,
     ) -> RelayedResponse:
         """Return the owner's response; raise OwnerUnreachable when there is none."""
-        passed = self._passed(headers)
+        passed = self._forwarded_headers(headers)
 
         def is_gone() -> bool:
             member = self._find(owner.instance)
@@ -128,24 +128,26 @@
         asking = asyncio.create_task(
             self._ask(method, f"http://{owner.http}{target}", passed, body)
         )
-        losing = asyncio.create_task(_until(is_gone))
+        watching_owner = asyncio.create_task(_wait_until(is_gone))
         try:
-            await asyncio.wait({asking, losing}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                {asking, watching_owner}, return_when=asyncio.FIRST_COMPLETED
+            )
             if not asking.done():
-                raise OwnerUnreachable("not heard of any more")
+                raise OwnerUnreachable("the owner left the membership or restarted")
             self.passed += 1
             return RelayedResponse(asking.result(), is_gone)
         finally:
             asking.cancel()
-            losing.cancel()
-            await asyncio.gather(asking, losing, return_exceptions=True)
+            watching_owner.cancel()
+            await asyncio.gather(asking, watching_owner, return_exceptions=True)
 
     async def wait_for_end(
         self, owner: messages.Member, target: str, headers: dict[str, str]
     ) -> None:
-        """Read an owner's answer to its end; raise OwnerUnreachable when it breaks."""
+        """Read an owner's answer to its end; raise OwnerUnreachable if it is cut."""
         url = f"http://{owner.http}{target}"
-        response = await self._ask("GET", url, self._passed(headers), b"")
+        response = await self._ask("GET", url, self._forwarded_headers(headers), b"")
         try:
             await response.read()
         except (aiohttp.ClientError, OSError) as error:
@@ -153,7 +155,7 @@
         finally:
             response.close()
 
-    def _passed(self, headers: dict[str, str]) -> dict[str, str]:
+    def _forwarded_headers(self, headers: dict[str, str]) -> dict[str, str]:
         passed = {HOP_HEADER: self._settings.instance}
         for name in PASSED_HEADERS:
             if name in headers:
@@ -163,8 +165,8 @@
     async def _ask(
         self, method: str, url: str, headers: dict[str, str], body: bytes
     ) -> aiohttp.ClientResponse:
-        # A waiting request legitimately holds its status line back, so there is no
-        # limit on the wait but the owner's own life.
+        # The owner sends the status line of a queued request only when it starts, so
+        # there is no read timeout; `forward` stops when the owner leaves the membership.
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
         try:
             return await self._http.request(
@@ -174,6 +176,6 @@
             raise OwnerUnreachable(repr(error)) from error
 
 
-async def _until(is_gone: collections.abc.Callable[[], bool]) -> None:
+async def _wait_until(is_gone: collections.abc.Callable[[], bool]) -> None:
     while not is_gone():
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -1,4 +1,4 @@
-"""What callers reach over HTTP; docs/CALLERS.md is the contract."""
+"""HTTP handlers for callers; docs/CALLERS.md specifies the interface."""
 
 import collections.abc
 import contextlib
@@ -16,28 +16,28 @@
 from ..owners import entries, owner, recovery, requests, streams, tokens
 from . import addresses, bodies, holds, relay
 
-QUESTIONS = ("/outcome", "/cancel")
-# Of an id as it was sent: a malformed one may be of any length.
-NOTED_CHARACTERS = 160
+QUERY_SUFFIXES = ("/outcome", "/cancel")
+# Malformed ids are reported up to this length.
+MAX_REPORTED_ID_CHARACTERS = 160
 OnRefused = collections.abc.Callable[[exceptions.Refusal, str, str], None]
 Respond = collections.abc.Awaitable[types.ASGIApp]
 
 
 class Call(typing.NamedTuple):
-    """A call about one request id, with what was found out before it is acted on.
+    """A validated HTTP call about one request id.
 
     Attributes
     ----------
     request : Request
-        As it came over HTTP.
+        The HTTP request.
     id : RequestId
-        The id in its path.
+        The request id in its path.
     team : str
-        Whose credential came with it.
+        Team of its credential.
     snapshot : Snapshot
-        The configuration in force.
+        The active configuration.
     body : bytes
-        Its body, read whole.
+        The complete body.
     """
 
     request: web_requests.Request
@@ -58,17 +58,17 @@
     settings : Settings
         Limits and keys.
     configured : Configuration
-        Teams and services.
+        Holds the teams and services.
     membership : Membership
-        Where other owners are.
+        Finds the instances that own requests.
     owned : Owner
-        The table of this instance.
+        Table of the requests that this instance owns.
     passing : Relay
-        The way to other owners.
+        Relays requests to other owners.
     recovering : Recovery
-        The way to streams of dead owners.
+        Finds the streams of failed owners at the engines.
     pauses : Pauses, optional
-        Whether this instance knows what is true now.
+        Tells whether this instance's state is current after a start or a pause.
     """
 
     def __init__(
@@ -91,37 +91,45 @@
         self._pauses = pauses or pause.Pauses(pause.shortest_lease(settings))
         self._on_refused: list[OnRefused] = []
 
-    def on_refused(self, call: OnRefused) -> None:
-        """Call ``call`` with each refusal that no entry of the owner stands for.
+    def on_refused(self, listener: OnRefused) -> None:
+        """Call ``listener`` for each refusal without an entry in the owner's table.
 
-        It gets the refusal, the id as it was sent, and the team, or empty texts.
+        It gets the refusal, the id as received, and the team, empty if unknown.
         """
-        self._on_refused.append(call)
+        self._on_refused.append(listener)
 
     def application(self) -> applications.Starlette:
         """Return the ASGI application."""
-        one = "/v1/requests/{id}"
+        request_path = "/v1/requests/{id}"
         return applications.Starlette(
             routes=[
                 routing.Route("/v1/addresses", self.addresses, methods=["GET"]),
-                routing.Route(one, self._handler(self._submit), methods=["POST"]),
-                routing.Route(one, self._handler(self._resume), methods=["GET"]),
                 routing.Route(
-                    one, self._handler(self._acknowledge), methods=["DELETE"]
+                    request_path, self._handler(self._submit), methods=["POST"]
                 ),
                 routing.Route(
-                    f"{one}/cancel", self._handler(self._cancel), methods=["POST"]
+                    request_path, self._handler(self._resume), methods=["GET"]
                 ),
                 routing.Route(
-                    f"{one}/outcome", self._handler(self._outcome), methods=["GET"]
+                    request_path, self._handler(self._acknowledge), methods=["DELETE"]
+                ),
+                routing.Route(
+                    f"{request_path}/cancel",
+                    self._handler(self._cancel),
+                    methods=["POST"],
+                ),
+                routing.Route(
+                    f"{request_path}/outcome",
+                    self._handler(self._outcome),
+                    methods=["GET"],
                 ),
             ]
         )
 
     async def addresses(self, request: web_requests.Request) -> responses.Response:
-        """Answer with addresses to use."""
-        # After a pause the others look dead, and the answer would send all callers
-        # here: a moment's wait for fresh news is enough.
+        """Return the addresses that a caller should use."""
+        # Right after a pause of this process all other members appear dead, and the
+        # answer would direct all callers here; wait for the next membership refresh.
         await self._pauses.wait(self._settings.membership.refresh_seconds)
         domain = request.query_params.get("domain", "")
         found = addresses.answer(self._settings, self._membership, domain)
@@ -134,27 +142,29 @@
             try:
                 return await self._handle(request, act)
             except exceptions.OutcomeUnknown as refusal:
-                if request.url.path.endswith(QUESTIONS):
-                    # It is the answer to the question, no failure of asking it.
+                if request.url.path.endswith(QUERY_SUFFIXES):
+                    # An unknown outcome is a valid result of a query, not its failure.
                     told = entries.Told(refusal.outcome, refusal.code, "unknown")
-                    return _told(told)
-                self._note(request, refusal)
+                    return _outcome_response(told)
+                self._report_refusal(request, refusal)
                 return streams.RefusalResponse(refusal)
             except exceptions.Refusal as refusal:
-                self._note(request, refusal)
+                self._report_refusal(request, refusal)
                 return streams.RefusalResponse(refusal)
 
         return handle
 
-    def _note(self, request: web_requests.Request, refusal: exceptions.Refusal) -> None:
+    def _report_refusal(
+        self, request: web_requests.Request, refusal: exceptions.Refusal
+    ) -> None:
         snapshot = self._configured.current
         team = ""
         if snapshot is not None:
             with contextlib.suppress(exceptions.Refusal):
                 team = _team(request, snapshot)
-        request_id = request.path_params["id"][:NOTED_CHARACTERS]
-        for call in self._on_refused:
-            call(refusal, request_id, team)
+        request_id = request.path_params["id"][:MAX_REPORTED_ID_CHARACTERS]
+        for listener in self._on_refused:
+            listener(refusal, request_id, team)
 
     async def _handle(self, request: web_requests.Request, act: Act) -> types.ASGIApp:
         snapshot = self._configured.current
@@ -166,9 +176,9 @@
         call = Call(request, request_id, team, snapshot, body)
         if self._owner.owns(request_id):
             return await act(call)
-        return await self._elsewhere(call)
+        return await self._relay_or_recover(call)
 
-    async def _elsewhere(self, call: Call) -> types.ASGIApp:
+    async def _relay_or_recover(self, call: Call) -> types.ASGIApp:
         member = self._membership.find(call.id.instance)
         hopped = relay.HOP_HEADER in call.request.headers
         if member is not None and member.incarnation == call.id.incarnation:
@@ -200,30 +210,32 @@
             raise exceptions.OwnerGone()
         found = await self._recovery.find(key, call.snapshot, service)
         if call.request.method == "DELETE":
-            # The engine forgets the stream in its own time.
+            # The engine expires the stream by itself.
             return responses.Response(status_code=204)
         if call.request.url.path.endswith("/outcome"):
             final = found.answer.final
             if final is None:
-                return _told(entries.Told("", "", "dispatched"))
-            return _told(entries.Told(final["outcome"], final["code"], "finished"))
-        hold = _Hold(self._holds, call.id, dict(call.request.headers))
+                return _outcome_response(entries.Told("", "", "dispatched"))
+            return _outcome_response(
+                entries.Told(final["outcome"], final["code"], "finished")
+            )
+        hold = _RecoveredHold(self._holds, call.id, dict(call.request.headers))
         return streams.AnswerResponse(
             found.answer,
-            _from(call.request),
+            _first_event_number(call.request),
             lambda: found.refusal,
             hold.start,
             hold.stop,
         )
 
     async def _submit(self, call: Call) -> types.ASGIApp:
-        after = _from(call.request)
+        after = _first_event_number(call.request)
         return self._read(
             self._owner.submit(call.id, call.team, call.body, call.snapshot), after
         )
 
     async def _resume(self, call: Call) -> types.ASGIApp:
-        after = _from(call.request)
+        after = _first_event_number(call.request)
         return self._read(self._owner.find(call.id, call.team), after)
 
     async def _acknowledge(self, call: Call) -> types.ASGIApp:
@@ -231,10 +243,10 @@
         return responses.Response(status_code=204)
 
     async def _cancel(self, call: Call) -> types.ASGIApp:
-        return _told(await self._owner.cancel(call.id, call.team))
+        return _outcome_response(await self._owner.cancel(call.id, call.team))
 
     async def _outcome(self, call: Call) -> types.ASGIApp:
-        return _told(self._owner.outcome(call.id, call.team))
+        return _outcome_response(self._owner.outcome(call.id, call.team))
 
     def _read(self, entry: entries.Entry, after: int) -> types.ASGIApp:
         return streams.AnswerResponse(
@@ -249,21 +261,23 @@
 def _team(request: web_requests.Request, snapshot: snapshots.Snapshot) -> str:
     scheme, _, credential = request.headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer":
-        raise exceptions.Unauthorized("an Authorization header of type Bearer")
+        raise exceptions.Unauthorized(
+            "an Authorization header of type Bearer is missing"
+        )
     team = snapshot.team_of(credential)
     if team is None:
         raise exceptions.Unauthorized()
     return team
 
 
-def _from(request: web_requests.Request) -> int:
+def _first_event_number(request: web_requests.Request) -> int:
     text = request.query_params.get("from", "0")
     if not text.isdecimal() or len(text) > 9:
-        raise exceptions.BadQuery("from: a number of events")
+        raise exceptions.BadQuery("from: must be a number of events")
     return int(text)
 
 
-def _told(told: entries.Told) -> responses.Response:
+def _outcome_response(told: entries.Told) -> responses.Response:
     return _json(told._asdict())
 
 
@@ -271,8 +285,8 @@
     return responses.Response(msgspec.json.encode(value), media_type="application/json")
 
 
-class _Hold:
-    """Holds a request at its owner for as long as a recovered answer is read."""
+class _RecoveredHold:
+    """Holds a request at its owner while a recovered answer is being read."""
 
     def __init__(
         self,
