--- a/packages/daemon/cassiaquay_daemon/interface/relay.py
+++ b/packages/daemon/cassiaquay_daemon/interface/relay.py
@@ -166,7 +166,7 @@
         self, method: str, url: str, headers: dict[str, str], body: bytes
     ) -> aiohttp.ClientResponse:
         # The owner sends the status line of a queued request only when it starts, so
-        # there is no read timeout; `forward` stops when the owner leaves the membership.
+        # there is no read timeout; `forward` stops if the owner leaves the membership.
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
         try:
             return await self._http.request(
--- a/packages/daemon/cassiaquay_daemon/platform/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/platform/__init__.py
@@ -1,7 +1,8 @@
-"""What the platform publishes: the configuration and the instance list, read only.
+"""Read-only adapters for what the platform publishes.
 
-Another platform protocol needs a class here, or in a module of its own, registered
-under a name; settings choose it.
+These are the configuration, the instance list and the registered backend servers. To
+support another platform protocol, register a class here or in a module of its own; the
+settings select it by name.
 """
 
 import typing
@@ -24,7 +25,7 @@
 
 
 class ListedInstance(typing.NamedTuple):
-    """One line of the instance list.
+    """One entry of the instance list.
 
     Attributes
     ----------
@@ -35,7 +36,7 @@
     http, peer : str
         Addresses as host:port; ``peer`` is empty for backend servers.
     leaving : bool
-        Whether it is about to go.
+        Whether it is shutting down.
     """
 
     name: str
@@ -47,7 +48,7 @@
 
 
 class Evacuated(typing.NamedTuple):
-    """Failure domains that the operator took out of use, at a revision."""
+    """Failure domains that the operator has evacuated, at a revision."""
 
     revision: int
     domains: list[str]
@@ -57,12 +58,13 @@
 
 
 class ConfigurationService(typing.Protocol):
-    """How the configuration is read.
+    """Reads the configuration.
 
     Attributes
     ----------
     evacuated : Evacuated
-        As found by the last read; where the text itself says it, nothing.
+        Evacuated failure domains as of the last read; empty for a platform that names
+        them in the configuration text.
     """
 
     evacuated: Evacuated
@@ -70,16 +72,16 @@
     def __init__(self, http: aiohttp.ClientSession, address: str): ...
 
     async def watch(self, after: int, wait: float) -> Published | None:
-        """Return what is newer than ``after``, or None after ``wait`` seconds."""
+        """Return a revision newer than ``after``, or None after ``wait`` seconds."""
 
 
 class InstanceList(typing.Protocol):
-    """How the instance list is read."""
+    """Reads the instance list."""
 
     def __init__(self, http: aiohttp.ClientSession, address: str): ...
 
     async def read(self) -> list[ListedInstance]:
-        """Return all lines."""
+        """Return all entries."""
 
 
 class ServersRead(typing.NamedTuple):
@@ -90,12 +92,12 @@
 
 
 class ServerStore(typing.Protocol):
-    """Where backend servers register."""
+    """Reads the registrations of backend servers."""
 
     def __init__(self, http: aiohttp.ClientSession, address: str): ...
 
     async def read(self) -> ServersRead:
-        """Return all of them."""
+        """Return all registered servers."""
 
 
 configuration_services: registry.Registry[type[ConfigurationService]] = (
@@ -141,7 +143,7 @@
 
 @configuration_services.register("config-http")
 class ConfigurationHttp:
-    """The configuration service over HTTP with a long poll."""
+    """Reads the configuration over HTTP by long polling."""
 
     def __init__(self, http: aiohttp.ClientSession, address: str):
         self.evacuated = NOTHING_EVACUATED
@@ -149,7 +151,7 @@
         self._url = f"http://{address}/v1/config"
 
     async def watch(self, after: int, wait: float) -> Published | None:
-        """Return what is newer than ``after``, or None after ``wait`` seconds."""
+        """Return a revision newer than ``after``, or None after ``wait`` seconds."""
         url = f"{self._url}?after={after}&wait={wait}"
         status, body = await _get(self._http, url, wait + ANSWER_SECONDS)
         if status == 204:
@@ -165,14 +167,14 @@
 
 @instance_lists.register("instances-http")
 class InstancesHttp:
-    """The instance list over HTTP."""
+    """Reads the instance list over HTTP."""
 
     def __init__(self, http: aiohttp.ClientSession, address: str):
         self._http = http
         self._url = f"http://{address}/v1/instances"
 
     async def read(self) -> list[ListedInstance]:
-        """Return all lines."""
+        """Return all entries."""
         status, body = await _get(self._http, self._url, ANSWER_SECONDS)
         if status != 200:
             raise exceptions.PlatformError(f"instance list: status {status}")
--- a/packages/daemon/cassiaquay_daemon/platform/directory.py
+++ b/packages/daemon/cassiaquay_daemon/platform/directory.py
@@ -1,13 +1,13 @@
-"""Bodies and paths of the calls by which callers find an instance."""
+"""Paths and bodies of the address discovery and readiness endpoints."""
 
 import msgspec
 
 RESOLVE_PATH = "/cassiaquay/resolve"
 READY_PATH = "/cassiaquay/ready"
-# An answer may name as many.
+# Maximum number of addresses in an answer.
 MAX_ADDRESSES = 64
 
 
 def encode(addresses: list[str], seconds: float) -> bytes:
-    """Return the body that names addresses and how long they may be kept."""
+    """Return the body with the addresses and the seconds they may be cached."""
     return msgspec.json.encode({"addrs": addresses, "ttl-s": seconds})
--- a/packages/daemon/cassiaquay_daemon/platform/documents.py
+++ b/packages/daemon/cassiaquay_daemon/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's configuration document, translated into our snapshot."""
+"""Translates the platform's configuration document into the daemon's snapshot."""
 
 import hashlib
 
@@ -10,7 +10,7 @@
 from ..configured import routing, snapshots
 
 NAME = "store"
-# The document has no least bound; no request can be served in less.
+# The document sets no lower bound; no request can be served in less time.
 MIN_TIMEOUT_MS = 1.0
 KINDS = {
     "idempotent": routing.Kind.IDEMPOTENT,
@@ -29,7 +29,7 @@
     path_prefix: str
     kind: str
     name: str = ""
-    # Named where one service takes all requests; `backends` otherwise.
+    # The service of all requests; empty where `backends` splits them.
     service: str = ""
     backends: list[_Backend] = []
     timeout_ms: float = 30_000.0
@@ -42,15 +42,15 @@
 
 
 class _Engine(msgspec.Struct, rename="kebab"):
-    # Tokens of the answer in one event of its stream.
+    # Tokens in one event of an answer's stream.
     stride: int = 1
 
 
 class _Service(msgspec.Struct, rename="kebab"):
     name: str
-    # Present where the servers are model engines.
+    # Present if the servers are model engines.
     engine: _Engine | None = None
-    # How long a server is cold after its start, and what it bears meanwhile.
+    # Time for which a server is cold after its start, and its request rate meanwhile.
     cold_start_s: float = 0.0
     cold_per_s: float = 0.0
 
@@ -67,7 +67,7 @@
     api_keys: list[str] = []
     priority: int | None = None
     unit: str = "requests"
-    # What counts for a request that does not say its tokens.
+    # Tokens charged for a request without token counts.
     plain_tokens: int = 1
     rate_per_s: float = 0.0
     burst: float = 0.0
@@ -83,7 +83,7 @@
 
 @snapshots.readers.register(NAME)
 def read(revision: int, text: str) -> snapshots.Snapshot:
-    """Return the snapshot of a document; raise SchemaError when it is none."""
+    """Return the snapshot of a document; raise SchemaError if it is invalid."""
     try:
         document = msgspec.json.decode(text, type=_Document)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -91,7 +91,7 @@
     teams = [(tenant, _team(tenant)) for tenant in document.tenants or []]
     found = routing.Routing(
         document.version,
-        _hosts(document),
+        _routes_by_host(document),
         {key: team for tenant, team in teams for key in tenant.api_keys},
         {team.name: team.quota for _, team in teams if team.quota is not None},
         document.tenants is not None,
@@ -119,7 +119,7 @@
     return found
 
 
-def _hosts(document: _Document) -> dict[str, list[routing.Route]]:
+def _routes_by_host(document: _Document) -> dict[str, list[routing.Route]]:
     hosts: dict[str, list[routing.Route]] = {}
     for item in document.routes:
         route = _route(item)
@@ -136,7 +136,7 @@
 def _route(item: _Route) -> routing.Route:
     kind = KINDS.get(item.kind)
     if kind is None:
-        # Of an unknown kind nothing may be repeated: the careful reading is safe.
+        # Requests of an unknown kind may have side effects and are never repeated.
         kind = routing.Kind.NON_IDEMPOTENT
     shares = [routing.Share(part.service, part.weight) for part in item.backends]
     if item.service:
@@ -170,7 +170,7 @@
 
 
 def _fleet(document: _Document) -> fleet_schema.Fleet:
-    """Return what keepers and operators' views need to know of a document."""
+    """Return the fleet that keepers and operators' views derive from a document."""
     ranks = set()
     for found in document.routes:
         route = _route(found)
@@ -189,7 +189,8 @@
     pools = {}
     services = {}
     for item in document.services:
-        # Servers register by themselves and join the pool as they are read.
+        # Servers register themselves; they join the pool when the registrations are
+        # read.
         pools[item.name] = fleet_schema.Pool(
             servers=[],
             cold_seconds=max(item.cold_start_s, 0.0),
--- a/packages/daemon/cassiaquay_daemon/platform/entries.py
+++ b/packages/daemon/cassiaquay_daemon/platform/entries.py
@@ -1,4 +1,4 @@
-"""Backend servers' registrations as they lie in the store."""
+"""Decodes the registrations of backend servers in the platform's store."""
 
 import typing
 
@@ -15,23 +15,23 @@
 
 class _Entry(msgspec.Struct):
     service: str
-    # Where the server listens, host:port.
+    # Listen address as host:port.
     addr: str
     state: str
     zone: str = ""
     slots: int = 1
-    # Unix milliseconds of the start of this process under its id.
+    # Start time of the server process, Unix milliseconds.
     born: int = 0
-    # How much longer it bears only a few requests after its start.
+    # Time for which it stays cold, that is, takes only a limited request rate.
     cold_left_ms: float = msgspec.field(name="cold-left-ms", default=0.0)
 
 
 def decode(name: str, value: bytes, revision: int) -> messages.ServerEntry | None:
-    """Return the server that an entry describes, or None when it names none.
+    """Return the server that an entry describes, or None if the entry is invalid.
 
-    Entries may come from other writers. One with a missing field, a field of another
-    type, an unknown state or bytes that cannot be read names no server to use; the
-    others are as good as before.
+    Other programs may write entries, too. An entry with a missing field, a field of the
+    wrong type, an unknown state or undecodable bytes is skipped and does not affect the
+    other entries.
     """
     try:
         entry = msgspec.json.decode(value, type=_Entry)
@@ -59,10 +59,10 @@
 def _is_address(text: str) -> bool:
     host, _, port = text.rpartition(":")
     parts = host.split(".")
-    if len(parts) != 4 or not all(_is_below(part, 256) for part in parts):
+    if len(parts) != 4 or not all(_is_decimal_below(part, 256) for part in parts):
         return False
-    return _is_below(port, 65536)
+    return _is_decimal_below(port, 65536)
 
 
-def _is_below(text: typing.Any, bound: int) -> bool:
+def _is_decimal_below(text: typing.Any, bound: int) -> bool:
     return text.isdecimal() and len(text) <= 5 and int(text) < bound
--- a/packages/daemon/cassiaquay_daemon/platform/headers.py
+++ b/packages/daemon/cassiaquay_daemon/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers' requests and of backend servers' answers, decoded once."""
+"""Decodes callers' request headers and filters headers in both directions."""
 
 import collections.abc
 import typing
@@ -11,7 +11,7 @@
 Pairs = list[tuple[str, str]]
 
 ATTEMPT = b"cassiaquay-attempt-id"
-# Milliseconds that the caller still waits, no point in time.
+# Remaining time that the caller waits, in milliseconds; not a timestamp.
 DEADLINE = b"cassiaquay-deadline-ms"
 KEY = b"api-key"
 MODEL = b"cassiaquay-model"
@@ -21,11 +21,11 @@
 LAST_EVENT = b"last-event-id"
 EXPECT_SERVER = "Cassiaquay-Expect-Instance"
 TEAM = "Cassiaquay-Tenant"
-# On an answer: the server did not begin to work on the request.
+# Answer header: the server did not begin to execute the request.
 NOT_EXECUTED = "Cassiaquay-Not-Executed"
 
-# Headers that only this system may set towards a server. What a caller sends under
-# these names is dropped: it could pin memory, claim another's capacity or its team.
+# Headers that only this system may send to a server. A caller's headers of these names
+# are dropped: they could pin memory, claim another caller's capacity or forge a team.
 _RESERVED = {
     KEY,
     DEADLINE,
@@ -43,7 +43,7 @@
     b"kv-from",
     b"wait-ms",
 }
-# Headers of one connection, which a proxy must not pass on (RFC 9110, 7.6.1).
+# Hop-by-hop headers, which a proxy must not forward (RFC 9110, 7.6.1).
 _HOP_BY_HOP = {
     b"connection",
     b"proxy-connection",
@@ -64,26 +64,28 @@
 
 
 class ParsedHeaders(typing.NamedTuple):
-    """What a caller's headers say of its request.
+    """Values decoded from a caller's request headers.
 
     Attributes
     ----------
     host : str
-        Host that it asked for, without a port.
+        Requested host, without the port.
     attempt : str
-        The caller's id of this attempt; empty when there is none.
+        The caller's id of this attempt, or empty.
     deadline_ms : int
-        Milliseconds that the caller waits; 0 when it does not say.
+        Milliseconds that the caller waits; 0 if not given.
     key : str
-        Its API key, or empty.
+        API key, or empty.
     prompt_tokens, most_output_tokens : int
-        Tokens of the prompt, and the most of the answer; both 0 for other requests.
+        Tokens of the prompt and maximum tokens of the answer; both 0 for requests
+        without token counts.
     output_tokens : int
-        The caller's estimate of the answer's tokens, or the most.
+        The caller's estimate of the answer's tokens; the maximum if not given.
     parts : list of PromptPart
-        Parts of the prompt, chained, so that equal keys mean equal prompts so far.
+        Parts of the prompt with chained hashes as keys: equal keys mean equal prompts
+        up to and including that part.
     last_event : int
-        Number of the last event that the caller has; -1 for a new stream.
+        Id of the last event that the caller has received; -1 for a new stream.
     """
 
     host: str
@@ -98,50 +100,56 @@
 
     @property
     def counts_tokens(self) -> bool:
-        """Whether the caller said how many tokens the request has."""
+        """Whether the headers give token counts."""
         return bool(self.prompt_tokens or self.most_output_tokens)
 
 
 def read(headers: Headers) -> ParsedHeaders:
-    """Return what the headers say; what cannot be read counts as not said."""
+    """Return the decoded headers; treat an invalid value as absent."""
     found: dict[bytes, bytes] = {}
     for name, value in headers:
         found.setdefault(name, value)
     host = found.get(b"host", b"").decode("latin-1").lower()
     counts = found.get(COUNTS, b"").split(b",")
-    prompt_tokens = _number(counts[0], 0)
-    most = _number(counts[1], 0) if len(counts) > 1 else 0
-    hint = min(_number(found.get(LENGTH_HINT, b""), most), most) or most
+    prompt_tokens = _parse_number(counts[0], 0)
+    max_output_tokens = _parse_number(counts[1], 0) if len(counts) > 1 else 0
+    length_hint = (
+        min(
+            _parse_number(found.get(LENGTH_HINT, b""), max_output_tokens),
+            max_output_tokens,
+        )
+        or max_output_tokens
+    )
     return ParsedHeaders(
         host.partition(":")[0],
         found.get(ATTEMPT, b"").decode("latin-1"),
-        _number(found.get(DEADLINE, b""), 0),
+        _parse_number(found.get(DEADLINE, b""), 0),
         found.get(KEY, b"").decode("latin-1"),
         prompt_tokens,
-        most,
-        hint,
-        _parts(found.get(MODEL, b""), found.get(PREFIX, b"")),
-        _number(found.get(LAST_EVENT, b""), -1),
+        max_output_tokens,
+        length_hint,
+        _prompt_parts(found.get(MODEL, b""), found.get(PREFIX, b"")),
+        _parse_number(found.get(LAST_EVENT, b""), -1),
     )
 
 
 def towards_server(
     headers: Headers, server: str, team: str, left_ms: int, last_event: int
 ) -> Pairs:
-    """Return the headers with which a request goes to a backend server.
+    """Return the headers to send to a backend server.
 
     Parameters
     ----------
     headers : iterable of pairs
-        As the caller sent them, names in lower case.
+        Headers as received from the caller, names in lower case.
     server : str
-        Id of the server that is meant; another one at its address refuses.
+        Id of the intended server; another server that now has its address declines.
     team : str
         Team of the key; empty on public routes.
     left_ms : int
-        Milliseconds that are left.
+        Milliseconds until the deadline.
     last_event : int
-        Event after which a stream goes on; -1 for its beginning.
+        Id of the event after which the stream resumes; -1 for its beginning.
     """
     dropped = _RESERVED | _HOP_BY_HOP | _connection_options(headers)
     found: Pairs = []
@@ -160,7 +168,7 @@
 def towards_caller(
     headers: collections.abc.Iterable[tuple[str, str]],
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a server's answer as its caller gets them."""
+    """Return the headers of a server's answer to send to the caller."""
     found = []
     for name, value in headers:
         if name.lower() not in _HOP_BY_HOP_RESPONSE:
@@ -175,18 +183,18 @@
             continue
         for token in value.split(b","):
             token = token.strip().lower()
-            # What identifies the request stays, whatever the caller lists.
+            # Headers that identify the request stay, even if the caller lists them.
             if not token.startswith(b"cassiaquay-"):
                 named.add(token)
     return named
 
 
-def _parts(model: bytes, text: bytes) -> list[messages.PromptPart]:
+def _prompt_parts(model: bytes, text: bytes) -> list[messages.PromptPart]:
     found: list[messages.PromptPart] = []
     chain = xxhash.xxh3_64_intdigest(model)
     for piece in text.split(b",")[:MAX_PROMPT_PARTS]:
         name, _, count = piece.strip().rpartition(b":")
-        tokens = _number(count, 0)
+        tokens = _parse_number(count, 0)
         if not name or not tokens:
             continue
         chain = xxhash.xxh3_64_intdigest(chain.to_bytes(8, "big") + name)
@@ -194,7 +202,7 @@
     return found
 
 
-def _number(text: bytes, default: int) -> int:
+def _parse_number(text: bytes, default: int) -> int:
     text = text.strip()
     if not text.isdigit() or len(text) > 12:
         return default
--- a/packages/daemon/cassiaquay_daemon/platform/store.py
+++ b/packages/daemon/cassiaquay_daemon/platform/store.py
@@ -1,8 +1,8 @@
-"""The platform's metadata store: a read-only client and the adapters that use it.
+"""Read-only client of the platform's metadata store, and the adapters that use it.
 
 The store numbers its changes with one counter, its revision. A read by key or prefix is
-linearizable. A watch waits for changes after a revision; when the store no longer has
-them it answers 410 and the key is read anew.
+linearizable. A watch waits for changes after a revision; if the store has already
+compacted them, it answers 410 and the client reads the key again.
 """
 
 import base64
@@ -17,8 +17,8 @@
 from .. import exceptions, platform
 from . import entries
 
-# All that the operator writes: the configuration, and a key for each zone that is
-# evacuated. One read by this prefix has both.
+# The operator's keys: the configuration, and one key for each evacuated zone. One read
+# by this prefix returns both.
 OPERATOR_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
 EVACUATED_PREFIX = "op/evacuate/"
@@ -26,10 +26,10 @@
 ITEM_PATH = "/cassiaquay/kv-key"
 RANGE_PATH = "/cassiaquay/kv-range"
 WATCH_PATH = "/cassiaquay/kv-watch"
-# What takes longer, on a slow store too, is a lost answer: its connection returns
-# nothing more.
+# Longer than a slow store takes to answer. After this time the answer is taken for lost
+# and its connection for broken.
 ANSWER_SECONDS = 0.6
-# A fleet of thousands of servers fits; a listing that never ends must not be followed.
+# Enough for thousands of servers; bounds the read of a listing that never ends.
 MAX_PAGES = 200
 
 
@@ -72,14 +72,14 @@
 
 
 class Store:
-    """Reads of the platform's store.
+    """Client of the platform's store.
 
     Parameters
     ----------
     http : ClientSession
-        Connections.
+        Client session for the store.
     address : str
-        host:port.
+        Address as host:port.
     """
 
     def __init__(self, http: aiohttp.ClientSession, address: str):
@@ -87,7 +87,7 @@
         self._base = f"http://{address}"
 
     async def item(self, key: str) -> Item | None:
-        """Return one key, or None when there is no such key."""
+        """Return the item of ``key``, or None if there is no such key."""
         status, body = await self._get(ITEM_PATH, {"key": key}, ANSWER_SECONDS)
         if status == 404:
             return None
@@ -97,8 +97,8 @@
     async def items(self, prefix: str) -> Items:
         """Return all keys under a prefix.
 
-        Pages are no snapshot: the revision is that of the first page, so a key that
-        changes meanwhile carries a higher one and is not taken for older.
+        The pages are not one snapshot. The result has the revision of the first page,
+        so a key that changes during the read has a higher revision than the result.
         """
         found: list[Item] = []
         revision = 0
@@ -118,10 +118,10 @@
             after = page.items[-1].key
         raise exceptions.PlatformError(f"{prefix}: more than {MAX_PAGES} pages")
 
-    async def changed(self, prefix: str, after: int, wait: float) -> int | None:
-        """Wait for a change after a revision; return the revision to go on from.
+    async def wait_for_change(self, prefix: str, after: int, wait: float) -> int | None:
+        """Wait for a change after a revision; return the revision to watch from next.
 
-        None says that the store no longer has the changes after that revision.
+        Returns None if the store no longer has the changes after that revision.
         """
         query = {
             "path-prefix": prefix,
@@ -152,7 +152,7 @@
 
 @platform.configuration_services.register("store")
 class ConfigurationStore:
-    """The configuration as one key of the store."""
+    """Reads the configuration from one key of the store."""
 
     def __init__(self, http: aiohttp.ClientSession, address: str):
         self.evacuated = platform.NOTHING_EVACUATED
@@ -160,12 +160,12 @@
         self._after = 0
 
     async def watch(self, after: int, wait: float) -> platform.Published | None:
-        """Return what is newer than ``after``, or None after ``wait`` seconds."""
-        # A watch tells when to look; the key itself says what is there now, so a watch
-        # whose events were cut short or forgotten costs one read and loses nothing.
+        """Return a revision newer than ``after``, or None after ``wait`` seconds."""
+        # The watch only triggers a read of the key, which returns the current value: a
+        # watch with truncated or compacted events costs one read and misses no change.
         if after and wait:
             revision = max(self._after, after)
-            seen = await self._store.changed(CONFIGURATION_KEY, revision, wait)
+            seen = await self._store.wait_for_change(CONFIGURATION_KEY, revision, wait)
             if seen == revision:
                 return None
         item = await self._read()
@@ -180,7 +180,7 @@
             raise exceptions.PlatformError(f"configuration: {error}") from error
 
     async def _read(self) -> Item | None:
-        """Return the configuration's item, and keep what is evacuated."""
+        """Return the configuration's item; update the evacuated domains."""
         found = await self._store.items(OPERATOR_PREFIX)
         domains = []
         configuration = None
@@ -195,13 +195,13 @@
 
 @platform.server_stores.register("store")
 class ServersStore:
-    """Backend servers as keys of the store."""
+    """Reads backend servers' registrations from keys of the store."""
 
     def __init__(self, http: aiohttp.ClientSession, address: str):
         self._store = Store(http, address)
 
     async def read(self) -> platform.ServersRead:
-        """Return all servers whose entries can be read."""
+        """Return all servers with a valid entry."""
         found = await self._store.items(SERVERS_PREFIX)
         servers: list[messages.ServerEntry] = []
         for item in found.items:
@@ -214,13 +214,13 @@
 
 @platform.instance_lists.register("none")
 class NoInstances:
-    """The platform lists none of the system's own instances: seeds and gossip do."""
+    """Empty list for a platform that lists no instances; seeds and gossip find them."""
 
     def __init__(self, http: aiohttp.ClientSession, address: str):
         pass
 
     async def read(self) -> list[platform.ListedInstance]:
-        """Return no line."""
+        """Return no entries."""
         return []
 
 
@@ -243,6 +243,6 @@
     try:
         value = base64.b64decode(item.value, validate=True)
     except (binascii.Error, ValueError):
-        # Another writer's key: its bytes are no value, the other keys hold.
+        # Another program wrote an invalid value; the other keys are still read.
         value = b""
     return Item(item.key, value, item.revision)
