--- a/packages/daemon/cassiaquay_daemon/engines/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/engines/__init__.py
@@ -1,5 +1,7 @@
-"""Model engines beside their requests: orders, load reports and cache events.
+"""Control of model engines outside the request path.
 
-Runs in the background beside the keepers; the daemon starts it and operators read it.
-It must not touch requests: an engine that ignores all orders still serves.
+Sends orders to engines (which model, adapter or role to load) and reads their load
+reports and cache events. The daemon runs these as background tasks; operators see the
+results. Requests must never depend on them: an engine that ignores every order still
+serves.
 """
--- a/packages/daemon/cassiaquay_daemon/engines/engine_orders.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_orders.py
@@ -1,4 +1,7 @@
-"""How orders reach engines. Another protocol needs a class registered here."""
+"""Protocols that deliver orders to engines; a further protocol registers its class.
+
+An order tells an engine which model, adapter or role to load.
+"""
 
 import typing
 
@@ -10,19 +13,22 @@
 from .. import exceptions
 from . import orders
 
-ANSWER_SECONDS = 2.0
+RESPONSE_TIMEOUT_SECONDS = 2.0
 
 
 class EngineOrders(typing.Protocol):
-    """A protocol of orders; registered under the name of the pools' adapter."""
+    """A protocol for orders, registered under the adapter name that pools refer to."""
 
     def __init__(self, http: aiohttp.ClientSession): ...
 
     async def read(self, server: fleet.Server) -> orders.Actual:
-        """Return what an engine has; raise BackendError when it does not say."""
+        """Return an engine's state; raise BackendError when it cannot be read."""
 
     async def send(self, server: fleet.Server, order: orders.Order) -> str:
-        """Send an order; raise OutrankedOrder when a newer one was obeyed."""
+        """Send an order and return the engine's state.
+
+        Raise OutrankedOrder when the engine has already accepted a higher fence.
+        """
 
 
 protocols: registry.Registry[type[EngineOrders]] = registry.Registry("order protocol")
@@ -44,13 +50,13 @@
 
 @protocols.register("engine-http")
 class EngineOrdersHttp:
-    """Model engines that take orders over HTTP."""
+    """Reads the state of engines and sends them orders over HTTP."""
 
     def __init__(self, http: aiohttp.ClientSession):
         self._http = http
 
     async def read(self, server: fleet.Server) -> orders.Actual:
-        """Return what an engine has."""
+        """Return the model, adapters, role and load that an engine reports."""
         status, body = await self._call("GET", server, "/v1/load", None)
         if status != 200:
             raise exceptions.BackendError(f"{server.name}: status {status}")
@@ -68,7 +74,7 @@
         )
 
     async def send(self, server: fleet.Server, order: orders.Order) -> str:
-        """Send an order; return the state that the engine answers."""
+        """Send an order and return the state that the engine responds with."""
         data = msgspec.json.encode(order._asdict())
         status, body = await self._call("POST", server, "/v1/orders", data)
         if status == 409:
@@ -89,7 +95,7 @@
                 f"http://{server.address}{path}",
                 data=data,
                 headers={"Content-Type": "application/json"},
-                timeout=aiohttp.ClientTimeout(total=ANSWER_SECONDS),
+                timeout=aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT_SECONDS),
             ) as response:
                 return response.status, await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
--- a/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
@@ -1,8 +1,9 @@
-"""What engines tell about themselves: late cache events with gaps, and stale load.
+"""Polls engines for cache events and load reports, which may be late or incomplete.
 
-Neither is needed for a right answer. Cache events tell a new keeper what is cached and
-an old one what was dropped; load reports show work that this keeper did not grant,
-such as that of a second keeper behind a partition.
+Admission stays correct without either. Cache events show a new keeper (the instance
+that admits requests to a shard) which prefixes an engine caches, and show any keeper
+which it has evicted. Load reports show work that this keeper did not grant, such as
+that of a second keeper on the other side of a network partition.
 """
 
 import asyncio
@@ -23,7 +24,7 @@
 
 
 class CacheEvent(msgspec.Struct):
-    """A change of an engine's cache."""
+    """Blocks that an engine has stored in its prefix cache or removed from it."""
 
     sequence: int
     kind: str
@@ -31,14 +32,14 @@
 
 
 class CacheEvents(msgspec.Struct):
-    """Changes after a number, and the number of the last one published."""
+    """Events after the requested sequence number, and the last number published."""
 
     sequence: int
     events: list[CacheEvent]
 
 
 class LoadReport(msgspec.Struct):
-    """Requests on an engine, as they were ``age_ms`` ago."""
+    """Numbers of requests on an engine, sampled ``age_ms`` milliseconds ago."""
 
     age_ms: float
     running: int
@@ -50,7 +51,7 @@
 
 
 class Reader(typing.Protocol):
-    """Reads reports by one protocol of backend servers."""
+    """Reads reports from backend servers by one protocol."""
 
     def __init__(self, http: aiohttp.ClientSession): ...
 
@@ -58,7 +59,7 @@
         """Return the cache events after a sequence number."""
 
     async def load(self, server: fleet.Server) -> LoadReport:
-        """Return the last load report."""
+        """Return the latest load report."""
 
 
 readers: registry.Registry[type[Reader]] = registry.Registry("report reader")
@@ -66,7 +67,7 @@
 
 @readers.register("engine-http")
 class EngineHttp:
-    """Reports of model engines over HTTP."""
+    """Reads the reports of model engines over HTTP."""
 
     def __init__(self, http: aiohttp.ClientSession):
         self._http = http
@@ -80,7 +81,7 @@
             raise exceptions.BackendError(str(error)) from error
 
     async def load(self, server: fleet.Server) -> LoadReport:
-        """Return the last load report."""
+        """Return the latest load report."""
         body = await self._get(server, "/v1/load")
         try:
             return _LOAD.decode(body)
@@ -98,16 +99,16 @@
 
 
 class EngineReports:
-    """Reads the reports of all engines of the shards that are kept here.
+    """Polls all engines of the shards whose keeper is this instance.
 
     Parameters
     ----------
     http : ClientSession
         Connections to backend servers.
     kept : Keeper
-        The shards and their policies.
+        The shards and placement policies that the reports update.
     configured : Configuration
-        Which protocol the servers of a pool speak.
+        Names the adapter, and so the protocol, of each pool.
     """
 
     def __init__(
@@ -124,7 +125,7 @@
             self._readers[name] = readers.get(name)(http)
 
     async def read(self) -> None:
-        """Read reports for ever."""
+        """Poll all engines every ``PERIOD_SECONDS`` until cancelled."""
         while True:
             await asyncio.sleep(PERIOD_SECONDS)
             for shard in list(self._keeper.shards.values()):
@@ -139,13 +140,13 @@
         reader = self._readers.get(snapshot.fleet.pools[pool].adapter)
         if reader is None:
             return
-        work = [self.read_one(shard, reader, item) for item in shard.open_servers()]
+        work = [self.read_one(shard, reader, server) for server in shard.open_servers()]
         await asyncio.gather(*work)
 
     async def read_one(
         self, shard: shards.Shard, reader: Reader, server: fleet.Server
     ) -> None:
-        """Read the reports of one engine."""
+        """Apply one engine's load report and cache events to its shard's state."""
         try:
             report = await reader.load(server)
             requests = report.running + report.waiting
@@ -156,10 +157,10 @@
             after = self._sequences.get(server.name, 0)
             found = await reader.events(server, after)
         except exceptions.BackendError:
-            # No report is no news: the keeper's own counts go on.
+            # The keeper's own counts stay in use until the next report.
             return
         if found.sequence < after:
-            # The engine has begun anew, with an empty cache.
+            # Sequence numbers went back: the engine restarted with an empty cache.
             policy.cache_lost(server.name)
             found.events = []
         for event in found.events:
--- a/packages/daemon/cassiaquay_daemon/engines/orders.py
+++ b/packages/daemon/cassiaquay_daemon/engines/orders.py
@@ -1,6 +1,7 @@
-"""What engines should serve, purely by the configuration, and the next step to it.
+"""Desired state of engines by the configuration, and the next order to reach it.
 
-Nothing here asks or sends; :mod:`reconciler` does. docs/design/orders.md tells why.
+Pure functions without I/O; :mod:`reconciler` reads engines and sends orders. The design
+is described in docs/design/orders.md.
 """
 
 import typing
@@ -15,7 +16,7 @@
 
 
 class Desired(typing.NamedTuple):
-    """What one engine should have."""
+    """Model, version, adapters and role that one engine should serve."""
 
     model: str
     version: str
@@ -24,7 +25,7 @@
 
 
 class Actual(typing.NamedTuple):
-    """What one engine says that it has, a moment ago."""
+    """State that one engine last reported."""
 
     model: str
     version: str
@@ -35,7 +36,7 @@
 
 
 class Order(typing.NamedTuple):
-    """One order to one engine; ``fence`` grows with the configuration's revision."""
+    """One order to one engine; its ``fence`` is the configuration's revision."""
 
     fence: int
     kind: str
@@ -46,18 +47,18 @@
 
 
 class Engine(typing.NamedTuple):
-    """One engine as a reconciler sees it; ``actual`` is None when it is silent.
+    """Desired and reported state of one engine.
 
     Attributes
     ----------
     name : str
         Name of the backend server.
     desired : Desired
-        From the configuration.
+        By the configuration.
     actual : Actual or None
-        From the engine.
+        As the engine reported it; None when it did not respond.
     ordered : bool
-        Whether its load has been ordered and is not over, as far as can be seen.
+        Whether a load has been ordered and the engine does not yet report its result.
     """
 
     name: str
@@ -67,24 +68,24 @@
 
     @property
     def has_model(self) -> bool:
-        """Whether it serves the right model, in whatever version."""
+        """Whether the engine serves the desired model, in any version."""
         return self.actual is not None and self.actual.model == self.desired.model
 
     @property
     def has_version(self) -> bool:
-        """Whether it serves the right model in the right version."""
+        """Whether the engine serves the desired model in the desired version."""
         if self.actual is None or not self.has_model:
             return False
         return self.actual.version == self.desired.version
 
     @property
     def serves(self) -> bool:
-        """Whether it serves its model now."""
+        """Whether the engine serves its model now and is not about to reload it."""
         return self.has_model and (self.has_version or not self.ordered)
 
 
 def desired(snapshot: snapshots.Snapshot, server: fleet.Server) -> Desired:
-    """Return what an engine should have under a configuration."""
+    """Return the desired state of an engine under a configuration."""
     model = snapshot.fleet.models[server.model]
     return Desired(server.model, model.version, dict(model.adapters), server.role)
 
@@ -92,8 +93,8 @@
 def fence(snapshot: snapshots.Snapshot) -> int:
     """Return the fencing number of all orders under a configuration.
 
-    Two keepers that follow one revision send the same orders, so the same number is
-    harmless; a keeper that still follows an older one is outranked.
+    Two keepers with the same revision send identical orders, so an equal number does
+    no harm. Engines refuse the orders of a keeper with an older revision.
     """
     return snapshot.revision
 
@@ -101,49 +102,49 @@
 def may_load(engines: list[Engine], minimum: int, at_once: int) -> list[str]:
     """Return the names of the engines of one model that may be loaded next.
 
-    Every keeper that reads the engines' own state comes to the same list, so the
-    keepers of several shards together keep the minimum without talking.
+    The result depends only on the state that engines report. The keepers of several
+    shards therefore compute the same list and hold the minimum without coordination.
 
     Parameters
     ----------
     engines : list of Engine
         All engines of the model.
     minimum : int
-        Engines that must go on serving it.
+        Number of engines that must keep serving the model.
     at_once : int
-        Loads at a time that the weight store stands.
+        Number of concurrent loads that the weight store can sustain.
     """
     serving = sum(1 for engine in engines if engine.serves)
     loading = sum(1 for engine in engines if engine.ordered and not engine.has_version)
-    left = at_once - loading
-    spare = serving - minimum
+    remaining_loads = at_once - loading
+    spare_engines = serving - minimum
     names = []
-    for engine in sorted(engines, key=_urgency):
-        if left <= 0:
+    for engine in sorted(engines, key=_load_priority):
+        if remaining_loads <= 0:
             break
         if engine.actual is None or engine.has_version or engine.ordered:
             continue
         if engine.serves:
-            if spare <= 0:
+            if spare_engines <= 0:
                 continue
-            spare -= 1
-        left -= 1
+            spare_engines -= 1
+        remaining_loads -= 1
         names.append(engine.name)
     return names
 
 
-def next_order(number: int, wanted: Desired, actual: Actual) -> Order | None:
-    """Return the next order that brings an engine nearer to what is wanted."""
+def next_order(fence_number: int, wanted: Desired, actual: Actual) -> Order | None:
+    """Return the next order towards the desired state, None when it is reached."""
     if (actual.model, actual.version) != (wanted.model, wanted.version):
-        return Order(number, LOAD_MODEL, wanted.model, wanted.version, "", "")
+        return Order(fence_number, LOAD_MODEL, wanted.model, wanted.version, "", "")
     for adapter, version in sorted(wanted.adapters.items()):
         if adapter not in actual.adapters:
-            return Order(number, LOAD_ADAPTER, wanted.model, version, adapter, "")
+            return Order(fence_number, LOAD_ADAPTER, wanted.model, version, adapter, "")
     if wanted.role and wanted.role != actual.role:
-        return Order(number, SET_ROLE, "", "", "", wanted.role)
+        return Order(fence_number, SET_ROLE, "", "", "", wanted.role)
     return None
 
 
-def _urgency(engine: Engine) -> tuple[bool, str]:
-    # An engine that serves nothing of use is loaded first: it costs no capacity.
+def _load_priority(engine: Engine) -> tuple[bool, str]:
+    # Engines that do not serve the model come first: loading them costs no capacity.
     return engine.serves, engine.name
--- a/packages/daemon/cassiaquay_daemon/engines/reconciler.py
+++ b/packages/daemon/cassiaquay_daemon/engines/reconciler.py
@@ -1,7 +1,8 @@
-"""Brings engines to what the configuration wants: one keeper for each engine.
+"""Reconciles engines with the configuration; each engine's keeper sends its orders.
 
-It reads what the engines of a model say, drains those that may be loaded, orders, and
-looks again. All it knows can be lost: the next keeper reads it from the engines.
+In each period it reads the state of a model's engines, drains those that may be loaded
+and sends them their next order. Its own state is only a cache: after a change of
+keeper, the new keeper reads the state from the engines.
 """
 
 import asyncio
@@ -19,13 +20,13 @@
 from . import engine_orders, orders
 
 
-class _Sent(typing.NamedTuple):
+class _SentOrder(typing.NamedTuple):
     order: orders.Order
     at: float
 
 
-class _Place(typing.NamedTuple):
-    """An engine in the configuration."""
+class _Target(typing.NamedTuple):
+    """An engine in the configuration, its shard and the protocol for its orders."""
 
     server: fleet.Server
     shard: str
@@ -33,7 +34,7 @@
 
 
 class Reconciler:
-    """Orders of this instance to the engines of the shards that it keeps.
+    """Sends orders to the engines of the shards whose keeper is this instance.
 
     Parameters
     ----------
@@ -42,13 +43,14 @@
     http : ClientSession
         Connections to engines.
     membership : Membership
-        Whose the shards are.
+        Names the keeper of each shard.
     configured : Configuration
-        What is wanted.
+        The desired state of engines.
     kept : Keeper
-        Told which engines get no new work.
+        Admits no new work to engines in its set ``draining``.
     pauses : Pauses
-        Whether this process knows what is true.
+        Whether this process's view is current; after a pause of the process no order
+        is sent until it is again.
     """
 
     def __init__(
@@ -65,14 +67,14 @@
         self._configured = configured
         self._keeper = kept
         self._pauses = pauses
-        self._sent: dict[str, _Sent] = {}
+        self._sent: dict[str, _SentOrder] = {}
         self._draining_since: dict[str, float] = {}
         self._protocols: dict[str, engine_orders.EngineOrders] = {}
         for name in engine_orders.protocols.names():
             self._protocols[name] = engine_orders.protocols.get(name)(http)
 
     async def run(self) -> None:
-        """Reconcile for ever."""
+        """Reconcile in every period until cancelled."""
         while True:
             await asyncio.sleep(self._settings.orders.period)
             snapshot = self._configured.current
@@ -80,23 +82,23 @@
                 await self.reconcile(snapshot)
 
     async def reconcile(self, snapshot: snapshots.Snapshot) -> None:
-        """Take one step under a configuration."""
-        models: dict[str, list[_Place]] = {}
-        for place in self._places(snapshot):
-            models.setdefault(place.server.model, []).append(place)
-        mine: set[str] = set()
-        for model, places in models.items():
-            own = [place for place in places if self._is_mine(place)]
+        """Advance every engine kept here by at most one order."""
+        models: dict[str, list[_Target]] = {}
+        for target in self._targets(snapshot):
+            models.setdefault(target.server.model, []).append(target)
+        own_names: set[str] = set()
+        for model, targets in models.items():
+            own = [target for target in targets if self._is_mine(target)]
             if not own:
                 continue
-            mine.update(place.server.name for place in own)
-            await self._reconcile_model(snapshot, model, places, own)
+            own_names.update(target.server.name for target in own)
+            await self._reconcile_model(snapshot, model, targets, own)
         for name in list(self._draining_since):
-            if name not in mine:
+            if name not in own_names:
                 del self._draining_since[name]
-        self._keeper.draining &= mine
+        self._keeper.draining &= own_names
 
-    def _places(self, snapshot: snapshots.Snapshot) -> list[_Place]:
+    def _targets(self, snapshot: snapshots.Snapshot) -> list[_Target]:
         found = []
         for name, pool in snapshot.fleet.pools.items():
             protocol = self._protocols.get(pool.adapter)
@@ -106,43 +108,49 @@
                 shard = f"{name}#{number}"
                 for server in snapshot.shard_servers(shard):
                     if server.model:
-                        found.append(_Place(server, shard, protocol))
+                        found.append(_Target(server, shard, protocol))
         return found
 
-    def _is_mine(self, place: _Place) -> bool:
-        keeper_name = self._membership.keeper_of(place.shard)
+    def _is_mine(self, target: _Target) -> bool:
+        keeper_name = self._membership.keeper_of(target.shard)
         return keeper_name == self._settings.instance
 
     async def _reconcile_model(
         self,
         snapshot: snapshots.Snapshot,
         model: str,
-        places: list[_Place],
-        own: list[_Place],
+        targets: list[_Target],
+        own: list[_Target],
     ) -> None:
-        seen = dict(zip([p.server.name for p in own], await _read(own), strict=True))
-        wanted = orders.desired(snapshot, places[0].server)
-        if any(_differs(wanted, actual) for actual in seen.values()):
-            # Only then do the engines that other instances keep matter.
-            others = [place for place in places if place.server.name not in seen]
-            found = await _read(others)
-            for place, actual in zip(others, found, strict=True):
-                seen[place.server.name] = actual
+        actual_by_name = dict(
+            zip([p.server.name for p in own], await _read(own), strict=True)
+        )
+        wanted = orders.desired(snapshot, targets[0].server)
+        if any(_needs_load(wanted, actual) for actual in actual_by_name.values()):
+            # Engines of other keepers count only when a load is due here.
+            foreign_targets = [
+                target for target in targets if target.server.name not in actual_by_name
+            ]
+            found = await _read(foreign_targets)
+            for target, actual in zip(foreign_targets, found, strict=True):
+                actual_by_name[target.server.name] = actual
         engines = []
-        for place in places:
-            name = place.server.name
-            if name in seen:
-                wanted = orders.desired(snapshot, place.server)
-                engines.append(self._engine(snapshot, name, wanted, seen[name]))
-        chosen = self._settings.orders
+        for target in targets:
+            name = target.server.name
+            if name in actual_by_name:
+                wanted = orders.desired(snapshot, target.server)
+                engines.append(
+                    self._engine(snapshot, name, wanted, actual_by_name[name])
+                )
+        limits = self._settings.orders
         minimum = snapshot.fleet.models[model].serving_minimum
-        may_load = orders.may_load(engines, minimum, chosen.loads_at_once)
+        may_load = orders.may_load(engines, minimum, limits.loads_at_once)
         if not may_load and any(e.serves and not e.has_version for e in engines):
             logs.detail("loads_wait", model=model, minimum=minimum)
         by_name = {engine.name: engine for engine in engines}
-        for place in own:
-            engine = by_name[place.server.name]
-            await self._step(snapshot, place, engine, engine.name in may_load)
+        for target in own:
+            engine = by_name[target.server.name]
+            await self._advance(snapshot, target, engine, engine.name in may_load)
 
     def _engine(
         self,
@@ -152,18 +160,18 @@
         actual: orders.Actual | None,
     ) -> orders.Engine:
         ordered = False
-        if actual is not None and _differs(wanted, actual):
+        if actual is not None and _needs_load(wanted, actual):
             sent = self._sent.get(name)
             remembered = sent is not None and sent.order.version == wanted.version
-            # Its number says that this configuration's order has reached it, whoever
-            # sent that.
+            # An engine with this fence has accepted an order of this configuration,
+            # possibly from another keeper.
             ordered = remembered or actual.fence >= orders.fence(snapshot)
         return orders.Engine(name, wanted, actual, ordered)
 
-    async def _step(
+    async def _advance(
         self,
         snapshot: snapshots.Snapshot,
-        place: _Place,
+        target: _Target,
         engine: orders.Engine,
         may_load: bool,
     ) -> None:
@@ -178,69 +186,69 @@
                 orders.fence(snapshot), engine.desired, engine.actual
             )
             if order is not None:
-                await self._send(snapshot, place, order)
+                await self._send(snapshot, target, order)
             return
         if not engine.has_model or engine.ordered:
             self._keeper.draining.add(name)
         if engine.ordered:
-            await self._repeat(snapshot, place, engine)
+            await self._repeat_if_due(snapshot, target, engine)
             return
         if not may_load:
             if engine.has_model:
-                # Another engine has failed meanwhile: this one goes on serving.
+                # Another engine failed during the drain, so this one keeps serving.
                 self._draining_since.pop(name, None)
                 self._keeper.draining.discard(name)
             return
         self._keeper.draining.add(name)
         since = self._draining_since.setdefault(name, clock.now())
-        if not self._is_empty(place, engine.actual, since):
+        if not self._is_empty(target, engine.actual, since):
             return
         order = orders.next_order(orders.fence(snapshot), engine.desired, engine.actual)
         if order is not None:
-            await self._send(snapshot, place, order)
+            await self._send(snapshot, target, order)
 
-    def _is_empty(self, place: _Place, actual: orders.Actual, since: float) -> bool:
+    def _is_empty(self, target: _Target, actual: orders.Actual, since: float) -> bool:
         waited = clock.now() - since
         if waited >= self._settings.orders.drain_seconds:
             return True
-        # Permits given before the drain live on for a while, and what the engine
-        # reports is a moment old: both must have passed.
+        # Permits granted before the drain stay valid for `permit_ms`, and the engine's
+        # report is older than this check; a count of 0 is reliable only after both.
         if waited < self._settings.keeper.permit_ms / 1000.0:
             return False
-        shard = self._keeper.shards.get(place.shard)
-        running = shard.count_on(place.server.name) if shard is not None else 0
+        shard = self._keeper.shards.get(target.shard)
+        running = shard.count_on(target.server.name) if shard is not None else 0
         return not running and not actual.running
 
-    async def _repeat(
-        self, snapshot: snapshots.Snapshot, place: _Place, engine: orders.Engine
+    async def _repeat_if_due(
+        self, snapshot: snapshots.Snapshot, target: _Target, engine: orders.Engine
     ) -> None:
-        # An order may have been lost, or its load may have failed without a word.
-        # Repeating it too soon would make an engine begin the load again.
+        # An order may have been lost, or its load may have failed without a report.
+        # Repeating it too early would make the engine restart a load in progress.
         sent = self._sent.get(engine.name)
         assert engine.actual is not None
         order = orders.next_order(orders.fence(snapshot), engine.desired, engine.actual)
         if order is None:
             return
         if sent is None:
-            self._sent[engine.name] = _Sent(order, clock.now())
+            self._sent[engine.name] = _SentOrder(order, clock.now())
             return
         if clock.now() - sent.at >= self._settings.orders.repeat_seconds:
-            await self._send(snapshot, place, order)
+            await self._send(snapshot, target, order)
 
     async def _send(
-        self, snapshot: snapshots.Snapshot, place: _Place, order: orders.Order
+        self, snapshot: snapshots.Snapshot, target: _Target, order: orders.Order
     ) -> None:
-        # Engines that ignore the fencing number obey whoever comes last: so the right
-        # to send is checked at the last moment. What slips through is seen and put
-        # right by the next reading.
+        # Engines that ignore the fence obey the last order that arrives, so this
+        # keeper's right to send is checked immediately before sending. The next
+        # reading detects and corrects an order sent wrongly nevertheless.
         if self._configured.current is not snapshot or not self._pauses.current:
             return
-        if not self._is_mine(place):
+        if not self._is_mine(target):
             return
-        name = place.server.name
-        self._sent[name] = _Sent(order, clock.now())
+        name = target.server.name
+        self._sent[name] = _SentOrder(order, clock.now())
         try:
-            state = await place.protocol.send(place.server, order)
+            state = await target.protocol.send(target.server, order)
         except exceptions.OutrankedOrder as error:
             logs.trouble("order_outranked", server=name, cause=str(error))
             return
@@ -250,17 +258,17 @@
         logs.event("ordered", server=name, state=state, **order._asdict())
 
 
-def _differs(wanted: orders.Desired, actual: orders.Actual | None) -> bool:
+def _needs_load(wanted: orders.Desired, actual: orders.Actual | None) -> bool:
     if actual is None:
         return False
     return (actual.model, actual.version) != (wanted.model, wanted.version)
 
 
-async def _read(places: list[_Place]) -> list[orders.Actual | None]:
-    async def one(place: _Place) -> orders.Actual | None:
+async def _read(targets: list[_Target]) -> list[orders.Actual | None]:
+    async def one(target: _Target) -> orders.Actual | None:
         try:
-            return await place.protocol.read(place.server)
+            return await target.protocol.read(target.server)
         except exceptions.BackendError:
             return None
 
-    return list(await asyncio.gather(*(one(place) for place in places)))
+    return list(await asyncio.gather(*(one(target) for target in targets)))
