--- a/packages/daemon/cassiaquay_daemon/engines/engine_orders.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_orders.py
@@ -61,16 +61,16 @@
         if status != 200:
             raise exceptions.BackendError(f"{server.name}: status {status}")
         try:
-            found = msgspec.json.decode(body, type=_LoadBody)
+            decoded = msgspec.json.decode(body, type=_LoadBody)
         except msgspec.DecodeError as error:
             raise exceptions.BackendError(str(error)) from error
         return orders.Actual(
-            found["model"],
-            found["version"],
-            found["adapters"],
-            found["role"],
-            found["fence"],
-            found["running"] + found["waiting"],
+            decoded["model"],
+            decoded["version"],
+            decoded["adapters"],
+            decoded["role"],
+            decoded["fence"],
+            decoded["running"] + decoded["waiting"],
         )
 
     async def send(self, server: fleet.Server, order: orders.Order) -> str:
--- a/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
@@ -140,8 +140,10 @@
         reader = self._readers.get(snapshot.fleet.pools[pool].adapter)
         if reader is None:
             return
-        work = [self.read_one(shard, reader, server) for server in shard.open_servers()]
-        await asyncio.gather(*work)
+        reads = [
+            self.read_one(shard, reader, server) for server in shard.open_servers()
+        ]
+        await asyncio.gather(*reads)
 
     async def read_one(
         self, shard: shards.Shard, reader: Reader, server: fleet.Server
--- a/packages/daemon/cassiaquay_daemon/engines/reconciler.py
+++ b/packages/daemon/cassiaquay_daemon/engines/reconciler.py
@@ -22,7 +22,7 @@
 
 class _SentOrder(typing.NamedTuple):
     order: orders.Order
-    at: float
+    sent_at: float
 
 
 class _Target(typing.NamedTuple):
@@ -232,7 +232,7 @@
         if sent is None:
             self._sent[engine.name] = _SentOrder(order, clock.now())
             return
-        if clock.now() - sent.at >= self._settings.orders.repeat_seconds:
+        if clock.now() - sent.sent_at >= self._settings.orders.repeat_seconds:
             await self._send(snapshot, target, order)
 
     async def _send(
@@ -265,10 +265,10 @@
 
 
 async def _read(targets: list[_Target]) -> list[orders.Actual | None]:
-    async def one(target: _Target) -> orders.Actual | None:
+    async def read_or_none(target: _Target) -> orders.Actual | None:
         try:
             return await target.protocol.read(target.server)
         except exceptions.BackendError:
             return None
 
-    return list(await asyncio.gather(*(one(target) for target in targets)))
+    return list(await asyncio.gather(*(read_or_none(target) for target in targets)))
--- a/packages/daemon/cassiaquay_daemon/operators/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/operators/__init__.py
@@ -1,5 +1,5 @@
-"""What operators see and do: admin calls, explanations, burn, history and metrics.
+"""Operators' interface: admin calls, explanations, error-budget burn, history, metrics.
 
-The command line calls it over HTTP, and the other rooms tell it what ended. It must
-not change what happens to a request, and nothing waits for it.
+The command line calls it over HTTP. Owners and the gateway report each ended request to
+it. It only observes: it must not influence a request, and no request waits for it.
 """
--- a/packages/daemon/cassiaquay_daemon/operators/admin.py
+++ b/packages/daemon/cassiaquay_daemon/operators/admin.py
@@ -1,6 +1,7 @@
-"""What operators and teams reach over HTTP, on an address of its own.
+"""HTTP interface for operators and teams, on a separate listening address.
 
-Read-only but for the drain of this instance; docs/OPERATIONS.md lists the calls.
+All calls only read, except the one that drains this instance. docs/OPERATIONS.md lists
+the calls.
 """
 
 import collections.abc
@@ -19,26 +20,26 @@
 DEFAULT_HISTORY = 100
 
 Answer = collections.abc.Awaitable[responses.Response]
-Act = collections.abc.Callable[[requests.Request, viewers.Viewer], Answer]
+Endpoint = collections.abc.Callable[[requests.Request, viewers.Viewer], Answer]
 
 
 class Admin:
-    """The handlers of the operators' address.
+    """HTTP handlers of the operators' address.
 
     Parameters
     ----------
     settings : Settings
-        Name of this instance, digests of operators' credentials.
+        Name of this instance and digests of the operators' credentials.
     incarnation : str
-        This life of the process.
+        Identifies this start of the process.
     parts : Parts
-        What is shown.
+        Components of the daemon whose state is shown.
     noted : Reports
-        Metrics, history and burn.
+        Metrics, history and error-budget burn.
     http : ClientSession
         Connections to other instances.
     drain : callable
-        Begins the graceful shutdown.
+        Starts the graceful shutdown.
     """
 
     def __init__(
@@ -46,21 +47,21 @@
         settings: settings_schema.Settings,
         incarnation: str,
         parts: reports.Parts,
-        noted: reports.Reports,
+        recorded: reports.Reports,
         http: aiohttp.ClientSession,
         drain: collections.abc.Callable[[], None],
     ):
         self._settings = settings
         self._incarnation = incarnation
         self._parts = parts
-        self._noted = noted
+        self._recorded = recorded
         self._viewers = viewers.Viewers(settings, parts.configured)
         self._explainer = explain.Explainer(settings, parts, http)
         self._drain = drain
 
     def application(self) -> applications.Starlette:
         """Return the ASGI application."""
-        pages: dict[str, Act] = {
+        endpoints: dict[str, Endpoint] = {
             "/v1/status": self._status,
             "/v1/instances": self._instances,
             "/v1/servers": self._servers,
@@ -76,18 +77,18 @@
             routing.Route("/v1/health", self._health, methods=["GET"]),
             routing.Route("/metrics", self._open_metrics, methods=["GET"]),
         ]
-        for path, act in pages.items():
-            routes.append(routing.Route(path, self._handler(act), methods=["GET"]))
-        begin = self._handler(self._begin_drain)
-        routes.append(routing.Route("/v1/drain", begin, methods=["POST"]))
+        for path, endpoint in endpoints.items():
+            routes.append(routing.Route(path, self._handler(endpoint), methods=["GET"]))
+        drain_handler = self._handler(self._begin_drain)
+        routes.append(routing.Route("/v1/drain", drain_handler, methods=["POST"]))
         return applications.Starlette(routes=routes)
 
     def _handler(
-        self, act: Act
+        self, endpoint: Endpoint
     ) -> collections.abc.Callable[[requests.Request], Answer]:
         async def handle(request: requests.Request) -> responses.Response:
             try:
-                return await act(request, self._viewers.viewer(request))
+                return await endpoint(request, self._viewers.authenticate(request))
             except exceptions.AdminRefusal as error:
                 body = {"code": error.code, "message": str(error)}
                 return _json(body, int(error.status))
@@ -110,20 +111,20 @@
     async def _status(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        viewer.must_be_operator()
+        viewer.require_operator()
         parts = self._parts
         found = {
             "instance": self._settings.instance,
             "incarnation": self._incarnation,
             "domain": self._settings.domain,
             "region": self._settings.region,
-            "since": self._noted.since,
+            "since": self._recorded.since,
             "leaving": parts.membership.leaving,
             "revision": parts.configured.revision,
             "rejected": parts.configured.rejected,
             "members": [member.instance for member in parts.membership.serving()],
             "open": parts.owned.open_count,
-            "ended": self._noted.metrics.total(metrics.REQUESTS, 2),
+            "ended": self._recorded.metrics.total(metrics.REQUESTS, 2),
             "shards": {
                 name: {"queue": len(shard.queue), "running": len(shard.running)}
                 for name, shard in parts.kept.shards.items()
@@ -134,19 +135,20 @@
     async def _instances(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        # Teams may have it too: they find their queues and refusals at all instances.
+        # Open to teams as well: a team collects its queues and refusals from all
+        # instances.
         return _json(views.instances(self._parts.membership))
 
     async def _servers(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        viewer.must_be_operator()
+        viewer.require_operator()
         return _json(views.servers(self._parts, self._settings))
 
     async def _keepers(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        viewer.must_be_operator()
+        viewer.require_operator()
         return _json(views.keepers(self._parts))
 
     async def _queues(
@@ -158,7 +160,7 @@
     async def _configuration(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        viewer.must_be_operator()
+        viewer.require_operator()
         with_text = request.query_params.get("text", "") == "1"
         return _json(views.configuration(self._parts, with_text))
 
@@ -166,14 +168,14 @@
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
         limit = _number(request, "limit", DEFAULT_HISTORY, MAX_HISTORY)
-        return _json(self._noted.history.recent(limit, viewer.team))
+        return _json(self._recorded.history.recent(limit, viewer.team))
 
     async def _burn(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        found = self._noted.burn.report(clock.now())
+        found = self._recorded.burn.report(clock.now())
         if viewer.team:
-            found = _only(found, viewer.team)
+            found = _restrict_to_team(found, viewer.team)
         snapshot = self._parts.configured.current
         objectives = []
         if snapshot is not None:
@@ -190,7 +192,7 @@
         body = {
             "instance": self._settings.instance,
             "incarnation": self._incarnation,
-            "since": self._noted.since,
+            "since": self._recorded.since,
             "revision": self._parts.configured.revision,
             "objectives": objectives,
             "report": found,
@@ -203,7 +205,9 @@
         authorization = request.headers.get("authorization", "")
         text = request.query_params.get("id", "")
         if text:
-            return _json(await self._explainer.by_id(text, viewer, authorization))
+            return _json(
+                await self._explainer.explain_by_id(text, viewer, authorization)
+            )
         description = explain.Description(
             request.query_params.get("service", ""),
             viewer.team or request.query_params.get("team", ""),
@@ -211,13 +215,15 @@
             _number(request, "prompt_tokens", 0, 10_000_000),
             _number(request, "output_tokens", 256, 10_000_000),
         )
-        return _json(await self._explainer.described(description, authorization))
+        return _json(
+            await self._explainer.explain_described(description, authorization)
+        )
 
     async def _placement(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        # The keeper's part of an explanation: figures of servers and queue lengths,
-        # no names of teams or requests, so that teams may have it for their own.
+        # The keeper's part of an explanation. It holds server loads and queue lengths
+        # but no names of teams or requests, so teams may read it too.
         demand = messages.Demand(
             request.query_params.get("id", ""),
             request.query_params.get("shard", ""),
@@ -231,11 +237,11 @@
             [],
             [],
         )
-        return _json(keeper_view.of_demand(self._parts, self._settings, demand))
+        return _json(keeper_view.explain_placement(self._parts, self._settings, demand))
 
     async def _open_metrics(self, request: requests.Request) -> responses.Response:
-        # A collector that the platform runs has no credential; what it reads names
-        # services, servers and the heaviest teams, and nothing of any request.
+        # The platform's metrics collector has no credential. The page names services,
+        # servers and the teams with the most requests, but holds no request data.
         if self._settings.open_metrics:
             return await self._metrics(request, viewers.Viewer(""))
         return await self._handler(self._metrics)(request)
@@ -243,20 +249,20 @@
     async def _metrics(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        viewer.must_be_operator()
-        body, headers = self._noted.page(request.headers.getlist("accept"))
+        viewer.require_operator()
+        body, headers = self._recorded.page(request.headers.getlist("accept"))
         return responses.Response(body, headers=headers)
 
     async def _begin_drain(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        viewer.must_be_operator()
+        viewer.require_operator()
         logs.event("drain_ordered", open=self._parts.owned.open_count)
         self._drain()
         return responses.Response(status_code=202)
 
 
-def _only(report: burn.Report, team: str) -> burn.Report:
+def _restrict_to_team(report: burn.Report, team: str) -> burn.Report:
     for window in report["windows"]:
         kept = []
         for count in window["counts"]:
@@ -271,7 +277,7 @@
     if not text:
         return default
     if not text.isascii() or not text.isdecimal() or len(text) > 9:
-        raise exceptions.AdminBadRequest(f"{name}: a whole number")
+        raise exceptions.AdminBadRequest(f"{name}: must be a non-negative integer")
     return min(int(text), limit)
 
 
--- a/packages/daemon/cassiaquay_daemon/operators/burn.py
+++ b/packages/daemon/cassiaquay_daemon/operators/burn.py
@@ -1,8 +1,8 @@
-"""Service-level burn: requests good and in all, in windows of time, in memory only.
+"""Error-budget burn: good and total requests per time window, held in memory only.
 
-Each owner counts the requests that it ended. ``cassiaquay burn`` adds the counts of
-all instances up; an instance that was replaced has lost its own, and says since when
-it counts.
+Each owner (the instance that accepted a request) counts the requests that it ended;
+``cassiaquay burn`` adds up the counts of all instances. Counts are lost when an
+instance is replaced, so each instance also reports since when it counts.
 """
 
 import collections
@@ -17,14 +17,19 @@
 SLOW_BUCKET_SECONDS = 3600.0
 SLOW_BUCKETS = 72
 
-# What the caller or the team's own limit decided says nothing about the service;
-# unless the caller gave up later than the objective allows.
-NOT_COUNTED = ("limit_reached",)
-GIVEN_UP = ("cancelled", "cancelled_running", "caller_gone", "caller_gone_running")
+# Refusals by a team's own limit and cancellations by the caller do not measure the
+# service. A cancellation later than the objective's time counts as a bad request.
+EXCLUDED_CODES = ("limit_reached",)
+CANCELLATION_CODES = (
+    "cancelled",
+    "cancelled_running",
+    "caller_gone",
+    "caller_gone_running",
+)
 
 
 class Window(typing.NamedTuple):
-    """A span of time that burn is told for: its name, length and ring."""
+    """A time window for which burn is reported, and the ring that it is summed from."""
 
     name: str
     seconds: float
@@ -40,18 +45,19 @@
 
 
 class Ended(typing.NamedTuple):
-    """One request that has ended.
+    """An ended request as burn counts it.
 
     Attributes
     ----------
     service, tier, team, server : str
-        Names; ``server`` is empty when it was never dispatched.
+        Names; ``server`` is empty when the request was never dispatched.
     outcome, code : str
-        As the caller was told.
+        As sent to the caller.
     seconds : float
-        From acceptance to the end.
+        From acceptance to the end, or to the first event for a gateway request that
+        streamed.
     within_seconds : float
-        The objective's time; 0 when there is no objective.
+        Time allowed by the objective; 0 without an objective.
     """
 
     service: str
@@ -65,7 +71,7 @@
 
 
 class Cell(typing.NamedTuple):
-    """What a counter is about: by the whole, by team or by backend server.
+    """Key of a counter: a service and tier, in total, by team or by backend server.
 
     Attributes
     ----------
@@ -84,7 +90,7 @@
 
 
 class Report(typing.TypedDict):
-    """All windows of one instance, and the buckets of its two rings for plots."""
+    """All windows of one instance, and the buckets of its two rings for plotting."""
 
     windows: list[bodies.Window]
     fast: list[bodies.Point]
@@ -93,25 +99,25 @@
 
 
 def is_good(ended: Ended) -> bool | None:
-    """Return whether a request met its objective, None when it does not count."""
-    if not ended.within_seconds or ended.code in NOT_COUNTED:
+    """Return whether a request met its objective; None when it is excluded."""
+    if not ended.within_seconds or ended.code in EXCLUDED_CODES:
         return None
-    if ended.code in GIVEN_UP and ended.seconds <= ended.within_seconds:
+    if ended.code in CANCELLATION_CODES and ended.seconds <= ended.within_seconds:
         return None
     return ended.outcome == "completed" and ended.seconds <= ended.within_seconds
 
 
 class Ring:
-    """Counters in buckets of time; the oldest bucket gives way to the newest.
+    """Counters in a bounded ring of time buckets; a new bucket replaces the oldest.
 
     Parameters
     ----------
     bucket_seconds : float
         Length of a bucket.
     buckets : int
-        Buckets kept.
+        Number of buckets retained.
     max_cells : int
-        Cells in one bucket.
+        Distinct cells per bucket; names beyond it are counted under ``other``.
     """
 
     def __init__(self, bucket_seconds: float, buckets: int, max_cells: int):
@@ -121,7 +127,7 @@
         self._buckets = collections.deque(maxlen=buckets)
 
     def add(self, now: float, cells: list[Cell], good: bool) -> None:
-        """Count one request in each of its cells."""
+        """Add one request to each of its cells."""
         number = int(now / self.bucket_seconds)
         if not self._buckets or self._buckets[-1][0] != number:
             self._buckets.append((number, {}))
@@ -135,9 +141,9 @@
             count[1] += good
 
     def sum(self, now: float, seconds: float) -> dict[Cell, list[int]]:
-        """Return total and good by cell over the last ``seconds``.
+        """Return total and good requests by cell over the last ``seconds``.
 
-        The bucket in which the span begins is taken whole.
+        The bucket in which this span begins is included entirely.
         """
         first = int((now - seconds) / self.bucket_seconds)
         found: dict[Cell, list[int]] = {}
@@ -151,7 +157,7 @@
         return found
 
     def points(self, now: float) -> list[bodies.Point]:
-        """Return the buckets by service and tier, oldest first."""
+        """Return the counts of each bucket by service and tier, oldest first."""
         found = []
         for number, counts in self._buckets:
             age = now - number * self.bucket_seconds
@@ -171,18 +177,18 @@
 
 
 class Burn:
-    """The windows of one instance.
+    """Error-budget burn of one instance in all windows.
 
     Parameters
     ----------
     scale : float
-        Factor on all lengths.
+        Factor on the lengths of all windows and buckets.
     teams : int
-        Teams named one by one.
+        Teams counted under their own names; all others count as ``other``.
     max_cells : int
-        Cells in one bucket.
+        Distinct cells per bucket.
     now : float
-        Seconds on the clock that all later times are on.
+        Current time; later times are read from the same clock.
     """
 
     def __init__(self, scale: float, teams: int, max_cells: int, now: float):
@@ -197,7 +203,7 @@
         self._excluded = 0
 
     def add(self, now: float, ended: Ended) -> None:
-        """Count one request that has ended."""
+        """Count an ended request unless it is excluded."""
         good = is_good(ended)
         if good is None:
             self._excluded += 1
@@ -207,7 +213,7 @@
             self._by_failures.add(ended.team)
         team = self._by_requests.label(ended.team)
         if team == top_counts.OTHER:
-            # A small team whose requests all fail is worth its name too.
+            # A team with few requests is named as well if it has many failures.
             team = self._by_failures.label(ended.team)
         cells = [
             Cell(ended.service, ended.tier, "all", ""),
@@ -218,7 +224,7 @@
             ring.add(now, cells, good)
 
     def report(self, now: float) -> Report:
-        """Return all windows as they are now."""
+        """Return the current counts of all windows."""
         windows = []
         for window in WINDOWS:
             seconds = window.seconds * self._scale
--- a/packages/daemon/cassiaquay_daemon/operators/explain.py
+++ b/packages/daemon/cassiaquay_daemon/operators/explain.py
@@ -1,4 +1,4 @@
-"""Why a request is where it is, or where a described request would go."""
+"""Explains the state of a request, or where a described request would be placed."""
 
 import typing
 
@@ -13,11 +13,11 @@
 from ..owners import owner, tokens
 from . import keeper_view, reports, viewers
 
-ASK_SECONDS = 3.0
+FETCH_TIMEOUT_SECONDS = 3.0
 
 
 class Description(typing.NamedTuple):
-    """A request that somebody describes."""
+    """A hypothetical request to be explained."""
 
     service: str
     team: str
@@ -27,16 +27,19 @@
 
 
 class Explainer:
-    """Explains requests, with the help of their owner and their shard's keeper.
+    """Explains requests with data from their owner and their shard's keeper.
+
+    The owner is the instance that accepted a request; the keeper admits requests to a
+    shard.
 
     Parameters
     ----------
     settings : Settings
-        Name of this instance, keys.
+        Name of this instance and the keys of request ids.
     parts : Parts
-        What is known here.
+        State of this instance.
     http : ClientSession
-        Connections to other instances' operators' addresses.
+        Connections to the operators' addresses of other instances.
     """
 
     def __init__(
@@ -49,29 +52,29 @@
         self._parts = parts
         self._http = http
 
-    async def by_id(
+    async def explain_by_id(
         self, text: str, viewer: viewers.Viewer, authorization: str
     ) -> bodies.Explanation:
-        """Return the explanation of a request by its id; its owner is asked."""
+        """Return the explanation of a request, from its owner."""
         try:
             request_id = tokens.parse(self._settings.keys, text)
         except exceptions.BadId as error:
             raise exceptions.AdminBadRequest("not an id of this fleet") from error
         if self._parts.owned.owns(request_id):
-            return await self._owned(text, viewer, authorization)
+            return await self._explain_owned(text, viewer, authorization)
         member = self._parts.membership.find(request_id.instance)
         if member is None or member.incarnation != request_id.incarnation:
             raise exceptions.AdminUnknown(
-                f"its owner, {request_id.instance} in its life"
-                f" {request_id.incarnation}, is gone; with it went what it knew"
+                f"its owner, {request_id.instance} in incarnation"
+                f" {request_id.incarnation}, is gone, and its records with it"
             )
-        body = await self._ask(member, f"/v1/explain?id={text}", authorization)
+        body = await self._fetch(member, f"/v1/explain?id={text}", authorization)
         return msgspec.json.decode(body, type=bodies.Explanation)
 
-    async def described(
+    async def explain_described(
         self, description: Description, authorization: str
     ) -> bodies.Explanation:
-        """Return where a described request would go, and why."""
+        """Return the limits, tier and placement that a described request would get."""
         snapshot = self._parts.configured.current
         if snapshot is None:
             raise exceptions.AdminUnknown("no configuration is in force here yet")
@@ -84,7 +87,7 @@
         tier = description.tier or team.tiers[0]
         if tier not in snapshot.fleet.tiers:
             raise exceptions.AdminBadRequest(f"no tier {tier!r}")
-        reasons = _limits(snapshot, description.service, description.team)
+        reasons = _limit_reasons(snapshot, description.service, description.team)
         if not description.tier:
             reasons.append(f"tier {tier}: the first of the team's tiers")
         allowed = tier in team.tiers
@@ -119,15 +122,15 @@
             placement=placement,
         )
 
-    async def _owned(
+    async def _explain_owned(
         self, text: str, viewer: viewers.Viewer, authorization: str
     ) -> bodies.Explanation:
         entry = self._parts.owned.table.get(text)
         if entry is None or (viewer.team and entry.accepted.team != viewer.team):
-            raise exceptions.AdminUnknown("its owner does not know this id")
+            raise exceptions.AdminUnknown("its owner has no record of this id")
         accepted = entry.accepted
-        reasons = _limits(accepted.snapshot, accepted.service, accepted.team)
-        reasons.extend(_story(entry))
+        reasons = _limit_reasons(accepted.snapshot, accepted.service, accepted.team)
+        reasons.extend(_progress_reasons(entry))
         demand = messages.Demand(
             text,
             entry.shard or f"{accepted.pool}#0",
@@ -189,7 +192,9 @@
         keeper = self._parts.membership.keeper_of(demand.shard)
         try:
             if keeper == self._settings.instance:
-                return keeper_view.of_demand(self._parts, self._settings, demand)
+                return keeper_view.explain_placement(
+                    self._parts, self._settings, demand
+                )
             member = self._parts.membership.find(keeper)
             if member is None:
                 raise exceptions.AdminElsewhere("its address is not known")
@@ -199,28 +204,32 @@
                 f"&prompt_tokens={demand.prompt_tokens}"
                 f"&output_tokens={demand.output_tokens}"
             )
-            body = await self._ask(member, target, authorization)
+            body = await self._fetch(member, target, authorization)
             return msgspec.json.decode(body, type=bodies.Placement)
         except exceptions.AdminRefusal as error:
-            reasons.append(f"the keeper, {keeper}, could not tell: {error}")
+            reasons.append(f"no placement from the keeper, {keeper}: {error}")
             return None
 
-    async def _ask(
+    async def _fetch(
         self, member: messages.Member, target: str, authorization: str
     ) -> bytes:
         if not member.admin:
-            raise exceptions.AdminElsewhere(f"{member.instance} has no such address")
+            raise exceptions.AdminElsewhere(
+                f"{member.instance} announces no operators' address"
+            )
         headers = {"Authorization": authorization} if authorization else {}
-        timeout = aiohttp.ClientTimeout(total=ASK_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=FETCH_TIMEOUT_SECONDS)
         url = f"http://{member.admin}{target}"
         try:
-            async with self._http.get(url, headers=headers, timeout=timeout) as answer:
-                body = await answer.read()
-                if answer.status == 404:
+            async with self._http.get(
+                url, headers=headers, timeout=timeout
+            ) as response:
+                body = await response.read()
+                if response.status == 404:
                     raise exceptions.AdminUnknown(_message(body))
-                if answer.status != 200:
+                if response.status != 200:
                     raise exceptions.AdminElsewhere(
-                        f"{member.instance}: status {answer.status}: {_message(body)}"
+                        f"{member.instance}: status {response.status}: {_message(body)}"
                     )
                 return body
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
@@ -238,22 +247,22 @@
         return body[:100].decode(errors="replace")
 
 
-def _limits(snapshot: snapshots.Snapshot, service: str, team: str) -> list[str]:
+def _limit_reasons(snapshot: snapshots.Snapshot, service: str, team: str) -> list[str]:
     found = []
-    holders = (
+    limited_items = (
         ("team", team, snapshot.fleet.teams[team]),
         ("service", service, snapshot.fleet.services[service]),
     )
-    for kind, name, holder in holders:
-        if holder.requests_per_second is not None:
-            found.append(f"{kind} {name}: {holder.requests_per_second:g} requests/s")
-        if holder.concurrent is not None:
-            found.append(f"{kind} {name}: {holder.concurrent} running at a time")
+    for kind, name, limited in limited_items:
+        if limited.requests_per_second is not None:
+            found.append(f"{kind} {name}: {limited.requests_per_second:g} requests/s")
+        if limited.concurrent is not None:
+            found.append(f"{kind} {name}: {limited.concurrent} running at a time")
     return found or ["no limit of the team or service applies"]
 
 
-def _story(entry: owner.Entry) -> list[str]:
-    found = [f"waited for or ran {clock.now() - entry.accepted_at:.3f} s"]
+def _progress_reasons(entry: owner.Entry) -> list[str]:
+    found = [f"accepted {clock.now() - entry.accepted_at:.3f} s ago"]
     if entry.server:
         found.append(f"dispatched to {entry.server}")
     if entry.refusal is not None:
@@ -261,5 +270,5 @@
     elif entry.ended:
         found = [f"completed in {entry.ended_at - entry.accepted_at:.3f} s", *found[1:]]
     elif not entry.server:
-        found.append("waits for a permit of its keeper")
+        found.append("waits for a permit from its keeper")
     return found
--- a/packages/daemon/cassiaquay_daemon/operators/history.py
+++ b/packages/daemon/cassiaquay_daemon/operators/history.py
@@ -1,4 +1,4 @@
-"""Recent events and refusals of one instance, in a ring, for operators."""
+"""Recent events and refusals of one instance, in a bounded buffer, for operators."""
 
 import collections
 import logging
@@ -7,27 +7,31 @@
 
 Field = str | int | float | bool | list[str] | None
 
-# What happens with every request is in the metrics; a ring of it would hold seconds.
-LEFT_OUT = frozenset({"dispatch", "ended", "wasted"})
-# What a log record carries besides the fields of its event.
-_STANDARD = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
+# Events of every request are counted in metrics instead: they would fill the buffer
+# within seconds.
+EXCLUDED_EVENTS = frozenset({"dispatch", "ended", "wasted"})
+# Attributes of a log record that are not fields of the event.
+_STANDARD_ATTRIBUTES = frozenset(vars(logging.makeLogRecord({}))) | {
+    "message",
+    "asctime",
+}
 
 
 class Event(typing.TypedDict):
-    """Something that happened at one instance.
+    """A logged event or a refusal at one instance.
 
     Attributes
     ----------
     at : float
-        Wall-clock second.
+        Wall-clock time in Unix seconds.
     name : str
         Name of the event; ``refused`` for a request that did not complete.
     alarm : bool
-        Whether an operator should look at it.
+        Whether it needs an operator's attention.
     team : str
-        Team that it concerns, or empty.
+        Team concerned, or empty.
     fields : dict
-        The fields of its log line.
+        The fields of the log line.
     """
 
     at: float
@@ -38,12 +42,12 @@
 
 
 class History(logging.Handler):
-    """The last events, taken from the log as it is written.
+    """Log handler that retains the last events and counts alarms.
 
     Parameters
     ----------
     limit : int
-        Events kept.
+        Number of events retained.
     """
 
     def __init__(self, limit: int):
@@ -52,24 +56,24 @@
         self._events: collections.deque[Event] = collections.deque(maxlen=limit)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a log record."""
+        """Retain a log record as an event."""
         name = record.getMessage()
         alarm = record.levelno >= logging.WARNING
         if alarm:
             self.alarms[name] += 1
-        if name in LEFT_OUT:
+        if name in EXCLUDED_EVENTS:
             return
         fields: dict[str, Field] = {}
         for key, value in vars(record).items():
-            if key not in _STANDARD:
-                fields[key] = _plain(value)
+            if key not in _STANDARD_ATTRIBUTES:
+                fields[key] = _encodable(value)
         team = str(fields.get("team", ""))
         self._events.append(
             Event(at=record.created, name=name, alarm=alarm, team=team, fields=fields)
         )
 
     def refused(self, team: str, **fields: Field) -> None:
-        """Keep a refusal with its reason."""
+        """Retain a refusal with its reason."""
         self._events.append(
             Event(
                 at=time.time(),
@@ -81,7 +85,7 @@
         )
 
     def recent(self, limit: int, team: str = "") -> list[Event]:
-        """Return the last events, newest first; those of one team when it is given."""
+        """Return the last events, newest first; only those of ``team`` when given."""
         found: list[Event] = []
         for event in reversed(self._events):
             if len(found) >= limit:
@@ -92,9 +96,9 @@
         return found
 
 
-def _plain(value: object) -> Field:
-    # An event may carry anything that a log line can show; one that JSON cannot must
-    # not keep operators from reading all the others.
+def _encodable(value: object) -> Field:
+    # A field may hold any object that a log line can format. One that JSON cannot
+    # encode must not make the whole history unreadable.
     if value is None or isinstance(value, str | int | float | bool):
         return value
     if isinstance(value, list | tuple | set | frozenset):
--- a/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
+++ b/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
@@ -1,4 +1,7 @@
-"""What the keeper of a shard would do with a demand, and why."""
+"""Explains where a shard's keeper would place a demand.
+
+The keeper admits requests to a shard; a demand is a request's wish to be admitted.
+"""
 
 from cassiaquay_schema import bodies, messages
 from cassiaquay_schema import settings as settings_schema
@@ -8,28 +11,28 @@
 from . import reports, views
 
 
-def of_demand(
+def explain_placement(
     parts: reports.Parts,
     settings: settings_schema.Settings,
     demand: messages.Demand,
 ) -> bodies.Placement:
-    """Return what this instance, as the keeper, would do with a demand."""
+    """Return where this instance, as the shard's keeper, would place a demand."""
     shard = views.shard_at_keeper(parts, settings, demand.shard)
     if shard is None:
         raise exceptions.AdminUnknown(f"no shard {demand.shard!r} is kept here")
     waiting = shard.queue.get(demand.id)
     if waiting is not None:
-        # With the hashes of its prefix, which the question does not carry.
+        # The queued demand holds the prefix hashes, which the query does not contain.
         demand = waiting.demand
-    higher, same = _ahead(shard, demand)
-    weighed = _weighed(parts, shard, demand)
+    higher, same = _count_ahead(shard, demand)
+    weighed = _weighed_by_server(parts, shard, demand)
     verdicts = []
     snapshot = parts.configured.current
     for name, item in sorted(shard.servers.items()):
         is_evacuated = snapshot is not None and snapshot.is_evacuated(item)
         verdicts.append(_verdict(shard, name, weighed.get(name), is_evacuated))
     running = shard.running.get(demand.id)
-    server = running.server if running is not None else _best(verdicts)
+    server = running.server if running is not None else _best_server(verdicts)
     state = "new"
     if running is not None:
         state = "running"
@@ -47,7 +50,7 @@
     )
 
 
-def _weighed(
+def _weighed_by_server(
     parts: reports.Parts, shard: shards.Shard, demand: messages.Demand
 ) -> dict[str, policies.Weighed]:
     policy = parts.kept.policy(shard.name)
@@ -56,17 +59,17 @@
     return {item.server: item for item in policy.explain(demand)}
 
 
-def _ahead(shard: shards.Shard, demand: messages.Demand) -> tuple[int, int]:
+def _count_ahead(shard: shards.Shard, demand: messages.Demand) -> tuple[int, int]:
     higher = 0
     same = 0
-    mine = shard.queue.get(demand.id)
+    own = shard.queue.get(demand.id)
     for waiting in shard.queue.values():
         if waiting.demand.id == demand.id:
             continue
         if waiting.demand.rank < demand.rank:
             higher += 1
         elif waiting.demand.rank == demand.rank:
-            if mine is None or waiting.arrived_at < mine.arrived_at:
+            if own is None or waiting.arrived_at < own.arrived_at:
                 same += 1
     return higher, same
 
@@ -103,9 +106,9 @@
     )
 
 
-def _best(verdicts: list[bodies.ServerVerdict]) -> str:
-    fitting = [item for item in verdicts if item["verdict"] == "fits"]
-    if not fitting:
+def _best_server(verdicts: list[bodies.ServerVerdict]) -> str:
+    candidates = [item for item in verdicts if item["verdict"] == "fits"]
+    if not candidates:
         return ""
-    best = min(fitting, key=lambda item: (item["finish_ms"], item["tokens"]))
+    best = min(candidates, key=lambda item: (item["finish_ms"], item["tokens"]))
     return best["server"]
--- a/packages/daemon/cassiaquay_daemon/operators/metrics.py
+++ b/packages/daemon/cassiaquay_daemon/operators/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics by Prometheus' conventions; docs/METRICS.md lists each.
+"""Metrics in the Prometheus conventions; docs/METRICS.md lists them all.
 
-A label set is turned into a key by the metrics library at each change, about 10 us;
-what changes with every request is counted in plain dictionaries and held histograms
-here and handed to the library when it is asked for.
+The metrics library converts a label set to a key at each update, which takes about
+10 us. Values that change with every request are therefore kept in plain dictionaries
+and histogram objects here, and passed to the library when the page is rendered.
 """
 
 import collections
@@ -14,24 +14,24 @@
 Labels = dict[str, str]
 Key = tuple[str, ...]
 
-FIRST_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6)
-WHOLE_SECONDS = (0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 20.0, 40.0, 80.0)
-LAG_SECONDS = (0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0)
+FIRST_EVENT_BOUNDS_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6)
+DURATION_BOUNDS_SECONDS = (0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 20.0, 40.0, 80.0)
+LAG_BOUNDS_SECONDS = (0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0)
 
 
 class Family(typing.NamedTuple):
-    """One metric: its name, kind, labels and meaning.
+    """Definition of one metric.
 
     Attributes
     ----------
     name : str
-        With its unit, as Prometheus asks.
+        Name that ends in the unit, by the Prometheus conventions.
     kind : str
         ``counter``, ``gauge`` or ``histogram``.
     labels : tuple of str
-        Names of its labels.
+        Names of the labels.
     doc : str
-        What it says.
+        Meaning of the metric.
     buckets : tuple of float
         Upper bounds, for histograms.
     """
@@ -66,14 +66,14 @@
     "histogram",
     ("service", "tier"),
     "From acceptance to the first event of the answer.",
-    FIRST_SECONDS,
+    FIRST_EVENT_BOUNDS_SECONDS,
 )
 WHOLE = Family(
     "cassiaquay_request_seconds",
     "histogram",
     ("service", "tier"),
     "From acceptance to the end, completed requests.",
-    WHOLE_SECONDS,
+    DURATION_BOUNDS_SECONDS,
 )
 PROMPT_TOKENS = Family(
     "cassiaquay_prompt_tokens_total",
@@ -104,7 +104,7 @@
     "histogram",
     (),
     "By how much a timer of this process was late.",
-    LAG_SECONDS,
+    LAG_BOUNDS_SECONDS,
 )
 ALARMS = Family(
     "cassiaquay_alarms_total",
@@ -251,7 +251,7 @@
     def __init__(self) -> None:
         self.registry = collectors.Registry()
         self._counts: dict[str, collections.Counter[Key]] = {}
-        self._held: dict[tuple[str, Key], histograms.Histogram] = {}
+        self._histograms: dict[tuple[str, Key], histograms.Histogram] = {}
         self._collectors: dict[str, collectors.Collector] = {}
         for family in FAMILIES:
             self._collectors[family.name] = self._collector(family)
@@ -263,12 +263,12 @@
 
     def observe(self, family: Family, key: Key, seconds: float) -> None:
         """Add one observation to a histogram."""
-        held = self._held.get((family.name, key))
-        if held is None:
-            held = histograms.Histogram(*family.buckets, float("inf"))
-            self._held[family.name, key] = held
-            self._collectors[family.name].set_value(_labels(family, key), held)
-        held.observe(seconds)
+        histogram = self._histograms.get((family.name, key))
+        if histogram is None:
+            histogram = histograms.Histogram(*family.buckets, float("inf"))
+            self._histograms[family.name, key] = histogram
+            self._collectors[family.name].set_value(_labels(family, key), histogram)
+        histogram.observe(seconds)
 
     def total(self, family: Family, position: int) -> dict[str, int]:
         """Return a counter's sums by the label at ``position``."""
@@ -278,15 +278,15 @@
         return found
 
     def replace(self, family: Family, values: dict[Key, float]) -> None:
-        """Set all values of a gauge, or of a counter that is kept elsewhere."""
+        """Replace all values of a gauge, or of a counter maintained elsewhere."""
         collector = self._collectors[family.name]
-        # A label set that is gone must not show its last value for ever.
+        # Label sets that no longer exist must not keep their last value on the page.
         collector.values.store.clear()
         for key, value in values.items():
             collector.set_value(_labels(family, key), value)
 
     def render(self, accept: list[str]) -> tuple[bytes, dict[str, str]]:
-        """Return the page in a format that the reader accepts, and its headers."""
+        """Return the page in an accepted format, and its headers."""
         for family in FAMILIES:
             for key, value in self._counts[family.name].items():
                 labels = _labels(family, key)
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -1,4 +1,4 @@
-"""What an instance notes for operators when a request ends, and when they ask."""
+"""Records ended requests for operators and reads gauges when metrics are requested."""
 
 import asyncio
 import time
@@ -16,11 +16,11 @@
 from ..owners import owner, recovery
 from . import burn, history, metrics, top_counts
 
-LAG_PERIOD = 0.5
+LAG_PERIOD_SECONDS = 0.5
 
 
 class Parts(typing.NamedTuple):
-    """The parts of the daemon whose state is read when metrics are asked for."""
+    """Components of the daemon whose state operators can read."""
 
     configured: configuration.Configuration
     membership: members.Membership
@@ -33,18 +33,19 @@
 
 
 class Finished(typing.NamedTuple):
-    """A request that has ended, however it did.
+    """A request that has ended, with any outcome.
 
     Attributes
     ----------
     service, tier, team, server : str
-        Names; empty where it did not get so far.
+        Names; empty for the stages that the request did not reach.
     outcome, code : str
-        How it ended.
+        How the request ended.
     seconds, first_seconds, within_seconds : float
-        Until its end, until its first event (0 for none), and its objective for that.
+        From acceptance to the end, from acceptance to the first event (0 without one),
+        and the time that the objective allows.
     prompt_tokens, output_tokens : int
-        As the server counted them, or the caller where the server does not say.
+        As counted by the server, or by the caller when the server reports none.
     """
 
     service: str
@@ -66,30 +67,30 @@
     Parameters
     ----------
     settings : Settings
-        Sizes and lengths.
+        Sizes of the history and of the burn windows.
     parts : Parts
-        What is read.
+        Components whose state is read for gauges.
     """
 
     def __init__(self, settings: settings_schema.Settings, parts: Parts):
-        chosen = settings.reports
+        report_settings = settings.reports
         self.since = time.time()
         self.metrics = metrics.Metrics()
-        self.history = history.History(chosen.history)
+        self.history = history.History(report_settings.history)
         self.burn = burn.Burn(
-            chosen.burn_scale,
-            chosen.heaviest_teams,
-            chosen.burn_max_cells,
+            report_settings.burn_scale,
+            report_settings.heaviest_teams,
+            report_settings.burn_max_cells,
             clock.now(),
         )
         self._parts = parts
-        self._teams = top_counts.TopCounts(chosen.heaviest_teams)
+        self._teams = top_counts.TopCounts(report_settings.heaviest_teams)
         logs.also(self.history)
         parts.owned.on_ended(self.ended)
         parts.owned.on_wasted(self.wasted)
 
     def ended(self, entry: owner.Entry) -> None:
-        """Count a request whose outcome is final."""
+        """Record an ended request of this owner, once its outcome is final."""
         accepted = entry.accepted
         final = entry.answer.final
         if final is None:
@@ -128,13 +129,14 @@
         )
 
     def passed(self, found: Finished) -> None:
-        """Count a request of the gateway."""
+        """Record an ended request of the gateway."""
         self._count(found)
-        # The objective is for the first event; plain answers have only their end.
+        # Gateway objectives apply to the first event; answers that are not streamed
+        # have only an end.
         self._burn(found, found.first_seconds or found.seconds)
 
     def _count(self, found: Finished) -> None:
-        """Count a request that has ended in the metrics."""
+        """Add an ended request to the metrics."""
         key = (found.service, found.tier)
         count = self.metrics.count
         count(metrics.REQUESTS, (*key, found.outcome, found.code))
@@ -150,7 +152,7 @@
             count(metrics.OUTPUT_TOKENS, service, found.output_tokens)
 
     def _burn(self, found: Finished, seconds: float) -> None:
-        """Count a request that has ended against its objective."""
+        """Add an ended request to the burn of its objective."""
         self.burn.add(
             clock.now(),
             burn.Ended(
@@ -166,11 +168,11 @@
         )
 
     def wasted(self, prompt_tokens: int) -> None:
-        """Count prompt tokens that an engine had read for nothing."""
+        """Count prompt tokens that an engine processed for a request then stopped."""
         self.metrics.count(metrics.WASTED_TOKENS, (), prompt_tokens)
 
     def refused(self, refusal: exceptions.Refusal, request_id: str, team: str) -> None:
-        """Count a refusal of a call that has no entry."""
+        """Record the refusal of a call for which the owner holds no entry."""
         self.metrics.count(metrics.REFUSALS, (refusal.code,))
         self.history.refused(
             team,
@@ -181,15 +183,15 @@
         )
 
     async def watch_lag(self) -> None:
-        """Observe for ever by how much a timer of this process is late."""
+        """Measure the event loop's lag every ``LAG_PERIOD_SECONDS`` until cancelled."""
         while True:
             before = clock.now()
-            await asyncio.sleep(LAG_PERIOD)
-            late = max(clock.now() - before - LAG_PERIOD, 0.0)
-            self.metrics.observe(metrics.LAG, (), late)
+            await asyncio.sleep(LAG_PERIOD_SECONDS)
+            lag_seconds = max(clock.now() - before - LAG_PERIOD_SECONDS, 0.0)
+            self.metrics.observe(metrics.LAG, (), lag_seconds)
 
     def page(self, accept: list[str]) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics page and its headers."""
+        """Update all gauges and return the metrics page and its headers."""
         self._read_owner()
         self._read_keeper()
         self._read_members()
--- a/packages/daemon/cassiaquay_daemon/operators/top_counts.py
+++ b/packages/daemon/cassiaquay_daemon/operators/top_counts.py
@@ -1,22 +1,22 @@
-"""The heaviest few of very many names, counted in bounded memory.
+"""Finds the most frequent of many names in bounded memory.
 
-The space-saving algorithm of Metwally, Agrawal and El Abbadi, "Efficient computation
-of frequent and top-k elements in data streams" (2005).
+Implements the space-saving algorithm of Metwally, Agrawal and El Abbadi, "Efficient
+computation of frequent and top-k elements in data streams" (2005).
 """
 
 OTHER = "other"
-# Counters for each name told of: a name with more than 1/n of all counts is never
-# missed, so a few times the names told of is enough.
+# Counters for each reported name. With n counters, a name with more than 1/n of all
+# counts is never missed, so a small multiple of the reported names is enough.
 COUNTERS_PER_NAME = 8
 
 
 class TopCounts:
-    """Which names were counted most often.
+    """Counts names and tracks the most frequent ones.
 
     Parameters
     ----------
     names : int
-        How many names are told of.
+        Number of names reported.
     """
 
     def __init__(self, names: int):
@@ -30,18 +30,18 @@
         if name in self._counts or len(self._counts) < self._limit:
             self._counts[name] = self._counts.get(name, 0) + 1
         else:
-            least = min(self._counts, key=self._counts.__getitem__)
-            self._counts[name] = self._counts.pop(least) + 1
-            self._top.discard(least)
+            least_counted = min(self._counts, key=self._counts.__getitem__)
+            self._counts[name] = self._counts.pop(least_counted) + 1
+            self._top.discard(least_counted)
         if name in self._top:
             return
-        self._enter(name)
+        self._update_top(name)
 
     def label(self, name: str) -> str:
-        """Return the name when it is one of the heaviest, ``other`` when not."""
+        """Return the name if it is among the most frequent, otherwise ``other``."""
         return name if name in self._top else OTHER
 
-    def _enter(self, name: str) -> None:
+    def _update_top(self, name: str) -> None:
         if len(self._top) < self._names:
             self._top.add(name)
             return
--- a/packages/daemon/cassiaquay_daemon/operators/viewers.py
+++ b/packages/daemon/cassiaquay_daemon/operators/viewers.py
@@ -1,4 +1,7 @@
-"""Who asks at the operators' address: an operator, or a team that sees its own."""
+"""Authenticates calls to the operators' address.
+
+An operator may read everything; a team may read only its own data.
+"""
 
 import hashlib
 import hmac
@@ -14,36 +17,36 @@
 
 
 class Viewer(typing.NamedTuple):
-    """Who asks.
+    """The authenticated client of a call.
 
     Attributes
     ----------
     team : str
-        Team, empty for an operator, who sees everything.
+        Team name; empty for an operator.
     """
 
     team: str
 
     @property
     def is_operator(self) -> bool:
-        """Whether everything may be seen and this instance drained."""
+        """Whether the client may read everything and drain this instance."""
         return not self.team
 
-    def must_be_operator(self) -> None:
-        """Raise AdminForbidden for a team."""
+    def require_operator(self) -> None:
+        """Raise AdminForbidden unless the client is an operator."""
         if not self.is_operator:
             raise exceptions.AdminForbidden("only operators may ask for this")
 
 
 class Viewers:
-    """Tells who asks, by credential.
+    """Authenticates clients by their credentials.
 
     Parameters
     ----------
     settings : Settings
         Digests of the operators' credentials.
     configured : Configuration
-        The teams.
+        The teams and their credentials.
     """
 
     def __init__(
@@ -54,16 +57,17 @@
         self._settings = settings
         self._configured = configured
 
-    def viewer(self, request: requests.Request) -> Viewer:
-        """Return who asks; raise AdminUnauthorized when nobody known does."""
+    def authenticate(self, request: requests.Request) -> Viewer:
+        """Return the client of a call; raise AdminUnauthorized if it is unknown."""
         scheme, _, credential = request.headers.get("authorization", "").partition(" ")
         if scheme.lower() == "bearer" and credential:
             return self._by_credential(credential)
-        # Without digests nobody could prove to be an operator. Only a process on this
-        # very machine is taken for one then: an address that is reachable from
-        # elsewhere must not hand out queues or drain the instance unasked.
-        # A page in a browser on this machine comes from the loopback address as well,
-        # but browsers say so: without this check any page could order a drain.
+        # Without configured digests no operator can authenticate. Only calls from the
+        # loopback address count as an operator's then, as an address reachable from
+        # other machines must not disclose queues or allow a drain to anyone.
+        # Calls by a web page in a local browser come from the loopback address too.
+        # Browsers mark them with an Origin header; without this check any web page
+        # could drain the instance.
         from_page = "origin" in request.headers
         if not self._settings.operators and _is_loopback(request) and not from_page:
             return Viewer("")
--- a/packages/daemon/cassiaquay_daemon/operators/views.py
+++ b/packages/daemon/cassiaquay_daemon/operators/views.py
@@ -1,4 +1,4 @@
-"""What operators see of one instance, as JSON bodies."""
+"""State of one instance, as JSON bodies for operators."""
 
 import collections
 import typing
@@ -12,7 +12,7 @@
 
 
 class ServerView(typing.TypedDict):
-    """One backend server as its keeper, this instance, sees it."""
+    """State of one backend server at its keeper, this instance."""
 
     server: str
     address: str
@@ -27,7 +27,7 @@
 
 
 class KeeperView(typing.TypedDict):
-    """A shard and the instance that this one takes for its keeper."""
+    """A shard, its servers, and its keeper in this instance's view."""
 
     shard: str
     keeper: str
@@ -35,7 +35,7 @@
 
 
 class ConfigurationView(typing.TypedDict):
-    """The configuration in force here, and what is on its way or was refused."""
+    """The configuration in force here, with pending and rejected revisions."""
 
     revision: int
     pending: int
@@ -44,7 +44,7 @@
 
 
 def instances(membership: members.Membership) -> list[bodies.Instance]:
-    """Return the members, and listed instances that nothing was heard of."""
+    """Return the members, and listed instances without a heartbeat."""
     serving = {member.instance for member in membership.serving()}
     found = {}
     for member in membership.alive():
@@ -79,18 +79,18 @@
 def shard_at_keeper(
     parts: reports.Parts, settings: settings_schema.Settings, name: str
 ) -> shards.Shard | None:
-    """Return a shard that this instance keeps, or would as soon as it is asked."""
-    known = parts.kept.shards.get(name)
-    if known is not None:
-        return known
+    """Return a shard kept here, or one that a first demand would create here."""
+    existing = parts.kept.shards.get(name)
+    if existing is not None:
+        return existing
     snapshot = parts.configured.current
     if snapshot is None or parts.membership.keeper_of(name) != settings.instance:
         return None
     servers = snapshot.shard_servers(name)
     if not servers:
         return None
-    # Keepers begin a shard with its first demand; until then there is nothing to show
-    # but its servers. This one is not kept.
+    # A keeper creates a shard at its first demand. Until then this temporary shard
+    # shows the servers; it is not stored.
     shard = shards.Shard(name, settings, parts.kept.cold)
     shard.servers = {server.name: server for server in servers}
     for server in servers:
@@ -118,7 +118,7 @@
                     model=server.model,
                     role=server.role,
                     shard=shard.name,
-                    state=_state(parts, shard, server),
+                    state=_server_state(parts, shard, server),
                     requests=shard.count_on(server.name),
                     slots=server.slots,
                     tokens=shard.tokens_on(server.name),
@@ -127,8 +127,10 @@
     return found
 
 
-def _state(parts: reports.Parts, shard: shards.Shard, server: fleet.Server) -> str:
-    """Return in one word whether a server gets new work, with how long it is cold."""
+def _server_state(
+    parts: reports.Parts, shard: shards.Shard, server: fleet.Server
+) -> str:
+    """Return whether a server gets new work; for a cold server, for how long."""
     snapshot = parts.configured.current
     if snapshot is not None and snapshot.is_evacuated(server):
         return "evacuated"
@@ -143,11 +145,11 @@
 def queues(
     parts: reports.Parts, viewer: viewers.Viewer, tiers: dict[int, str], now: float
 ) -> bodies.Queues:
-    """Return what waits by tier and team; a team sees itself only."""
+    """Return waiting requests by tier and team; a team sees only its own."""
     counts: collections.Counter[tuple[str, int, str]] = collections.Counter()
     oldest: dict[tuple[str, int, str], float] = {}
     running = []
-    for shard in _kept(parts):
+    for shard in _kept_shards(parts):
         if viewer.is_operator:
             floor, _ = shard.health()
             running.append(
@@ -180,7 +182,7 @@
 
 
 def keepers(parts: reports.Parts) -> list[KeeperView]:
-    """Return each shard of the configuration and its keeper as seen from here."""
+    """Return each configured shard and its keeper in this instance's view."""
     snapshot = parts.configured.current
     if snapshot is None:
         return []
@@ -199,11 +201,11 @@
 
 
 def configuration(parts: reports.Parts, with_text: bool) -> ConfigurationView:
-    """Return the configuration in force; ``pending`` is a newer one known of."""
-    known = [parts.configured.revision]
+    """Return the configuration in force; ``pending`` is a newer revision, or 0."""
+    revisions = [parts.configured.revision]
     for member in parts.membership.alive():
-        known.append(member.revision)
-    newest = max(known)
+        revisions.append(member.revision)
+    newest = max(revisions)
     current = parts.configured.current
     return ConfigurationView(
         revision=parts.configured.revision,
@@ -214,19 +216,19 @@
 
 
 def tier_names(parts: reports.Parts) -> dict[int, str]:
-    """Return the names of tiers by rank, as configured now."""
+    """Return the names of the currently configured tiers by rank."""
     snapshot = parts.configured.current
     if snapshot is None:
         return {}
     return {tier.rank: name for name, tier in snapshot.fleet.tiers.items()}
 
 
-def _kept(parts: reports.Parts) -> list[shards.Shard]:
-    """Return the shards that are kept here, without those handed on long ago."""
+def _kept_shards(parts: reports.Parts) -> list[shards.Shard]:
+    """Return shards kept here, and former ones with requests still in them."""
     found = []
     for shard in parts.kept.shards.values():
         keeper = parts.membership.keeper_of(shard.name)
-        mine = keeper == parts.membership.me.instance
-        if mine or shard.queue or shard.running:
+        is_kept = keeper == parts.membership.me.instance
+        if is_kept or shard.queue or shard.running:
             found.append(shard)
     return found
