--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -160,7 +160,7 @@
         admin_socket = bound[0][1]
         if self._gateway is not None:
             self._membership.http_address = settings.gateway.front
-            self._gateway.accounting.on_ended(noted.passed)
+            self._gateway.accounting.on_ended(noted.record_gateway_request)
             self._gateway.accounting.on_refused(noted.refused)
             self._gateway.start()
         else:
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -128,7 +128,7 @@
             server=entry.server,
         )
 
-    def passed(self, found: Finished) -> None:
+    def record_gateway_request(self, found: Finished) -> None:
         """Record an ended request of the gateway."""
         self._count(found)
         # Gateway objectives apply to the first event; answers that are not streamed
