--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -169,7 +169,7 @@
         early_bind.close_rest()
         self._membership.admin_address = _address(admin_socket)
         tasks = [asyncio.create_task(work) for work in self._work()]
-        tasks.append(asyncio.create_task(noted.watch_lag()))
+        tasks.append(asyncio.create_task(noted.measure_lag()))
         serving = []
         for server, listening in bound:
             serving.append(asyncio.create_task(server.serve([listening])))
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -182,7 +182,7 @@
             message=refusal.message,
         )
 
-    async def watch_lag(self) -> None:
+    async def measure_lag(self) -> None:
         """Measure the event loop's lag every ``LAG_PERIOD_SECONDS`` until cancelled."""
         while True:
             before = clock.now()
