--- a/packages/daemon/cassiaquay_daemon/operators/metrics.py
+++ b/packages/daemon/cassiaquay_daemon/operators/metrics.py
@@ -61,7 +61,7 @@
     ("code",),
     "Calls refused before there was an entry: bad ids, credentials, bodies.",
 )
-FIRST = Family(
+FIRST_EVENT = Family(
     "cassiaquay_first_event_seconds",
     "histogram",
     ("service", "tier"),
@@ -213,7 +213,7 @@
     REQUESTS,
     TEAM_REQUESTS,
     REFUSALS,
-    FIRST,
+    FIRST_EVENT,
     WHOLE,
     PROMPT_TOKENS,
     CACHED_TOKENS,
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -144,7 +144,7 @@
         team = self._teams.label(found.team)
         count(metrics.TEAM_REQUESTS, (team, found.outcome))
         if found.first_seconds:
-            self.metrics.observe(metrics.FIRST, key, found.first_seconds)
+            self.metrics.observe(metrics.FIRST_EVENT, key, found.first_seconds)
         if found.outcome == "completed":
             self.metrics.observe(metrics.WHOLE, key, found.seconds)
             service = (found.service,)
--- a/packages/dev/cassiaquay_dev/sizing/reports_cost.py
+++ b/packages/dev/cassiaquay_dev/sizing/reports_cost.py
@@ -34,7 +34,7 @@
         teams.add(ended.team)
         team = teams.label(ended.team)
         counted.count(metrics.TEAM_REQUESTS, (team, ended.outcome))
-        counted.observe(metrics.FIRST, key, 0.2)
+        counted.observe(metrics.FIRST_EVENT, key, 0.2)
         counted.observe(metrics.WHOLE, key, ended.seconds)
         counted.count(metrics.PROMPT_TOKENS, (ended.service,), 10)
         counted.count(metrics.CACHED_TOKENS, (ended.service,), 10)
