--- a/packages/daemon/cassiaquay_daemon/operators/metrics.py
+++ b/packages/daemon/cassiaquay_daemon/operators/metrics.py
@@ -68,7 +68,7 @@
     "From acceptance to the first event of the answer.",
     FIRST_EVENT_BOUNDS_SECONDS,
 )
-WHOLE = Family(
+REQUEST_DURATION = Family(
     "cassiaquay_request_seconds",
     "histogram",
     ("service", "tier"),
@@ -214,7 +214,7 @@
     TEAM_REQUESTS,
     REFUSALS,
     FIRST_EVENT,
-    WHOLE,
+    REQUEST_DURATION,
     PROMPT_TOKENS,
     CACHED_TOKENS,
     OUTPUT_TOKENS,
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -146,7 +146,7 @@
         if found.first_seconds:
             self.metrics.observe(metrics.FIRST_EVENT, key, found.first_seconds)
         if found.outcome == "completed":
-            self.metrics.observe(metrics.WHOLE, key, found.seconds)
+            self.metrics.observe(metrics.REQUEST_DURATION, key, found.seconds)
             service = (found.service,)
             count(metrics.PROMPT_TOKENS, service, found.prompt_tokens)
             count(metrics.OUTPUT_TOKENS, service, found.output_tokens)
--- a/packages/dev/cassiaquay_dev/sizing/reports_cost.py
+++ b/packages/dev/cassiaquay_dev/sizing/reports_cost.py
@@ -35,7 +35,7 @@
         team = teams.label(ended.team)
         counted.count(metrics.TEAM_REQUESTS, (team, ended.outcome))
         counted.observe(metrics.FIRST_EVENT, key, 0.2)
-        counted.observe(metrics.WHOLE, key, ended.seconds)
+        counted.observe(metrics.REQUEST_DURATION, key, ended.seconds)
         counted.count(metrics.PROMPT_TOKENS, (ended.service,), 10)
         counted.count(metrics.CACHED_TOKENS, (ended.service,), 10)
         counted.count(metrics.OUTPUT_TOKENS, (ended.service,), 10)
