--- a/packages/cli/cassiaquay_cli/__init__.py
+++ b/packages/cli/cassiaquay_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for operators."""
+"""Command line for operators; it calls the daemons' operators' addresses over HTTP."""
--- a/packages/cli/cassiaquay_cli/burn.py
+++ b/packages/cli/cassiaquay_cli/burn.py
@@ -1,4 +1,4 @@
-"""``cassiaquay burn``: how fast the service-level objectives' budgets burn."""
+"""``cassiaquay burn``: burn rates of the error budgets of service-level objectives."""
 
 import pathlib
 
--- a/packages/cli/cassiaquay_cli/burn_page.py
+++ b/packages/cli/cassiaquay_cli/burn_page.py
@@ -1,4 +1,4 @@
-"""The burn report as one HTML page that needs nothing else."""
+"""Renders the burn report as one self-contained HTML page."""
 
 import datetime
 import html
@@ -22,7 +22,7 @@
 
 
 def render(report: burn_sums.Report) -> str:
-    """Return the page."""
+    """Return the HTML page of a report."""
     at = datetime.datetime.fromtimestamp(report["at"]).isoformat(" ", "seconds")
     parts = [
         "<!doctype html>",
@@ -49,7 +49,7 @@
 
 
 def missing_lines(report: burn_sums.Report) -> list[str]:
-    """Return what the report does not know, one line each."""
+    """Return one line for each instance whose counts are missing or incomplete."""
     lines = []
     for item in report["missing"]:
         lines.append(f"{item['instance']} gave no answer: {item['reason']}")
@@ -123,10 +123,10 @@
 
 
 def rate(value: float | None) -> str:
-    """Return a burn rate for people."""
+    """Format a burn rate; ``-`` without requests."""
     return "-" if value is None else f"{value:.2f}"
 
 
 def left(value: float | None) -> str:
-    """Return what is left of a budget for people."""
+    """Format the remaining share of a budget; ``-`` without requests."""
     return "-" if value is None else f"{value:.0%}"
--- a/packages/cli/cassiaquay_cli/burn_sums.py
+++ b/packages/cli/cassiaquay_cli/burn_sums.py
@@ -1,4 +1,4 @@
-"""Burn of service-level objectives, added up over the instances of a fleet."""
+"""Error-budget burn of service-level objectives, summed over a fleet's instances."""
 
 import time
 import typing
@@ -7,30 +7,30 @@
 
 from . import clients
 
-# Rates of the usual two-window alarms: at 14.4 a thirtieth of a month's budget is
-# spent in 1.4 hours, at 1 it is spent exactly when the period ends.
+# Burn rates of the usual two-window alarms. A rate of 14.4 spends a thirtieth of a
+# month's budget in 1.4 hours; a rate of 1 spends the budget exactly in its period.
 PAGE_RATE = 14.4
 TICKET_RATE = 1.0
 FAST = ("5m", "1h")
 SLOW = ("6h", "3d")
 PERIOD = "3d"
 BURNERS = 5
-# Of a few requests a single bad one is a high rate; nobody should be woken up by it.
+# Fewer bad requests raise no alarm: with little traffic, a single one is a high rate.
 LEAST_BAD = 5
 
 
 class WindowBurn(typing.TypedDict):
-    """One objective in one window.
+    """Counts and burn rate of one objective in one window.
 
     Attributes
     ----------
     name : str
-        Window.
+        Name of the window.
     total, good : int
-        Requests.
+        Numbers of requests.
     rate : float or None
-        Share of bad requests over the share that the objective allows; None without
-        requests.
+        Share of bad requests divided by the share that the objective allows; None
+        without requests.
     """
 
     name: str
@@ -40,7 +40,7 @@
 
 
 class Burner(typing.TypedDict):
-    """A team or backend server and its part of an objective's bad requests."""
+    """A team or backend server and its share of an objective's bad requests."""
 
     axis: str
     name: str
@@ -50,7 +50,7 @@
 
 
 class ObjectiveBurn(typing.TypedDict):
-    """One objective: how fast its budget burns, what is left, who burns it."""
+    """Burn rates, remaining budget and largest burners of one objective."""
 
     service: str
     tier: str
@@ -63,7 +63,7 @@
 
 
 class Young(typing.TypedDict):
-    """An instance that has not counted for as long as the windows are."""
+    """An instance whose counts cover less than the longest window."""
 
     instance: str
     incarnation: str
@@ -72,7 +72,7 @@
 
 
 class Bucket(typing.TypedDict):
-    """One point of a plot."""
+    """One time bucket of a plot."""
 
     age_seconds: float
     total: int
@@ -80,7 +80,7 @@
 
 
 class Series(typing.TypedDict):
-    """The points of one objective in one ring, oldest first."""
+    """The buckets of one objective from one ring, oldest first."""
 
     service: str
     tier: str
@@ -90,7 +90,7 @@
 
 
 class Report(typing.TypedDict):
-    """What a fleet's instances know of its objectives, and what is missing."""
+    """Burn of all objectives of a fleet, with the instances that are not covered."""
 
     at: float
     revision: int
@@ -104,7 +104,7 @@
 
 
 def report(collected: clients.Collected[bodies.Burn]) -> Report:
-    """Return the burn of a fleet from its instances' counts."""
+    """Sum the counts of all instances to the burn of the fleet."""
     answers = list(collected.answers.values())
     newest = max(answers, key=lambda item: item["revision"], default=None)
     objectives = newest["objectives"] if newest is not None else []
@@ -126,7 +126,7 @@
 
 
 def is_burning(found: Report) -> bool:
-    """Return whether an objective burns too fast or its budget is spent."""
+    """Return whether any objective has a verdict that needs attention."""
     return any(item["verdict"] in ("page", "ticket") for item in found["objectives"])
 
 
@@ -181,14 +181,13 @@
 
 
 def rate(share: float, total: int, good: int) -> float | None:
-    """Return the share of bad requests over what ``share`` allows, None without any."""
+    """Return the burn rate of an objective of ``share``, None without requests."""
     if not total:
         return None
     bad = (total - good) / total
     allowed = 1.0 - share
     if allowed <= 0.0:
-        # An objective of every single request has no budget: one bad request
-        # spends it many times over.
+        # An objective of 100% has no budget, so any bad request gives a very high rate.
         return 0.0 if not bad else bad * total * PAGE_RATE
     return bad / allowed
 
@@ -198,8 +197,8 @@
     bad = {item["name"]: item["total"] - item["good"] for item in windows}
     if all(rate is None for rate in rates.values()):
         return "no data"
-    # Both windows of a pair: the long one says that it matters, the short one that it
-    # still goes on.
+    # An alarm needs both windows of a pair: the long one shows that the loss is
+    # significant, the short one that it continues.
     if bad[FAST[-1]] < LEAST_BAD and bad[SLOW[-1]] < LEAST_BAD:
         return "ok"
     if all((rates[name] or 0.0) >= PAGE_RATE for name in FAST):
@@ -243,7 +242,7 @@
 
 
 def _coverage(answers: list[bodies.Burn], missing: int) -> dict[str, float]:
-    """Return the part of instances' time in each window that was counted."""
+    """Return by window the share of the instances' time that their counts cover."""
     found = {}
     for name in (*FAST, *SLOW):
         counted = 0.0
--- a/packages/cli/cassiaquay_cli/check.py
+++ b/packages/cli/cassiaquay_cli/check.py
@@ -1,4 +1,7 @@
-"""``cassiaquay check``: judge a fleet text without a fleet."""
+"""``cassiaquay check``: validate a fleet text without a running fleet.
+
+The fleet text is the configuration of services, pools, servers, tiers and teams.
+"""
 
 import typing
 
@@ -6,7 +9,7 @@
 
 
 class Sizes(typing.TypedDict):
-    """What an accepted text holds."""
+    """Numbers of the items in an accepted text."""
 
     services: int
     pools: int
--- a/packages/cli/cassiaquay_cli/clients.py
+++ b/packages/cli/cassiaquay_cli/clients.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' addresses of a fleet, beginning with one that is known."""
+"""Client of the operators' addresses of a fleet, starting at a known instance."""
 
 import asyncio
 import os
@@ -19,21 +19,21 @@
 
 
 class Missing(typing.NamedTuple):
-    """An instance that gave no answer, and why."""
+    """An instance that did not respond, and the reason."""
 
     instance: str
     reason: str
 
 
 class Collected(typing.NamedTuple, typing.Generic[Body]):
-    """What the instances of a fleet answered.
+    """Responses from the instances of a fleet.
 
     Attributes
     ----------
     answers : dict of str to Body
-        By name of the instance.
+        Decoded response bodies by instance name.
     missing : list of Missing
-        Instances that gave none.
+        Instances that did not respond.
     """
 
     answers: dict[str, Body]
@@ -41,15 +41,15 @@
 
 
 class Client:
-    """Calls with the operator's credential.
+    """HTTP client that sends the credential of the environment with each call.
 
     Parameters
     ----------
     at : str
-        host:port to begin with, or several with commas between them, of which the
-        first that answers is taken; the environment's when empty.
+        host:port of the instance to start with, or a comma-separated list of which the
+        first that responds is used; taken from the environment when empty.
     http : ClientSession
-        Connections.
+        Connections to daemons.
     """
 
     def __init__(self, at: str, http: aiohttp.ClientSession):
@@ -65,7 +65,10 @@
         self._credential = os.environ.get(CREDENTIAL_VARIABLE, "")
 
     async def begin(self) -> None:
-        """Begin with the first address that answers; raise when none does."""
+        """Select the first address that responds; raise NothingAnswers when none does.
+
+        An instance that refuses the health call, as it is not ready, has responded.
+        """
         last: exceptions.NothingAnswers | None = None
         for address in self.addresses:
             try:
@@ -81,7 +84,7 @@
             raise last
 
     async def get(self, path: str, shape: type[Body], at: str = "") -> Body:
-        """Return the decoded answer of one instance."""
+        """Return the decoded response of one instance."""
         body = await self._call("GET", at or self.at, path)
         try:
             return msgspec.json.decode(body, type=shape)
@@ -91,17 +94,17 @@
             ) from error
 
     async def post(self, path: str, at: str) -> None:
-        """Order something of one instance."""
+        """Send a command to one instance."""
         await self._call("POST", at, path)
 
     async def instances(self) -> list[bodies.Instance]:
-        """Return the fleet as the first instance sees it."""
+        """Return the instances of the fleet in the selected instance's view."""
         return await self.get("/v1/instances", list[bodies.Instance])
 
     async def collect(
         self, path: str, shape: type[Body], instances: list[bodies.Instance]
     ) -> Collected[Body]:
-        """Return the answers of all instances, and which gave none."""
+        """Call all instances; return their responses and those that sent none."""
         answers: dict[str, Body] = {}
         missing = []
         asked = [item for item in instances if item["admin"]]
@@ -144,7 +147,7 @@
 
 
 def missing_lines(missing: list[Missing]) -> list[str]:
-    """Return a line for each instance that gave no answer."""
+    """Return one line for each instance that did not respond."""
     return [f"no answer of {item.instance}: {item.reason}" for item in missing]
 
 
--- a/packages/cli/cassiaquay_cli/commands.py
+++ b/packages/cli/cassiaquay_cli/commands.py
@@ -1,4 +1,4 @@
-"""The registry of commands; each module of a command fills it."""
+"""Registry of commands; each command's module registers itself on import."""
 
 import asyncio
 import collections.abc
@@ -18,7 +18,7 @@
 
 
 def run(at: str, work: Work) -> outputs.Output:
-    """Return what ``work`` finds with a client that begins at ``at``."""
+    """Run ``work`` with a client that starts at ``at`` and return its output."""
 
     async def inside() -> outputs.Output:
         async with aiohttp.ClientSession() as http:
--- a/packages/cli/cassiaquay_cli/diff.py
+++ b/packages/cli/cassiaquay_cli/diff.py
@@ -1,4 +1,4 @@
-"""``cassiaquay diff``: what a new fleet text would change."""
+"""``cassiaquay diff``: the differences between two fleet texts."""
 
 from . import commands, differences, files, outputs
 
--- a/packages/cli/cassiaquay_cli/differences.py
+++ b/packages/cli/cassiaquay_cli/differences.py
@@ -1,4 +1,4 @@
-"""What changes between two fleet texts, place by place."""
+"""Compares two fleet texts value by value."""
 
 import typing
 
@@ -10,14 +10,14 @@
 
 
 class Difference(typing.NamedTuple):
-    """One change.
+    """One changed value.
 
     Attributes
     ----------
     place : str
-        Dotted path.
+        Dotted path of the value.
     before, after : str
-        JSON, empty where the place does not exist.
+        Old and new value as JSON; empty where the path does not exist.
     """
 
     place: str
@@ -26,7 +26,7 @@
 
 
 def between(old: fleet.Fleet, new: fleet.Fleet) -> list[Difference]:
-    """Return the differences, sorted by place."""
+    """Return the differences, sorted by path."""
     before = dict(_leaves((), msgspec.to_builtins(old)))
     after = dict(_leaves((), msgspec.to_builtins(new)))
     found = []
--- a/packages/cli/cassiaquay_cli/drain.py
+++ b/packages/cli/cassiaquay_cli/drain.py
@@ -1,4 +1,4 @@
-"""``cassiaquay drain``: the graceful shutdown of one instance."""
+"""``cassiaquay drain``: shut down one instance gracefully."""
 
 import asyncio
 
@@ -10,7 +10,11 @@
 
 
 def find(instances: list[bodies.Instance], name: str, force: bool) -> bodies.Instance:
-    """Return the instance to be drained; raise CommandError when it must not be."""
+    """Return the instance to drain.
+
+    Raise UnknownInstance when no live instance has this name, and LastInstance when no
+    other instance serves, unless ``force``.
+    """
     live = [item for item in instances if item["admin"]]
     named = [item for item in live if item["instance"] == name]
     if not named:
@@ -29,7 +33,7 @@
 
 
 async def gone(client: clients.Client, address: str, timeout: float) -> None:
-    """Return when an instance answers no more; raise StillThere when it does."""
+    """Wait until an instance stops responding; raise StillThere after ``timeout``."""
     end = asyncio.get_running_loop().time() + timeout
     while True:
         try:
--- a/packages/cli/cassiaquay_cli/exceptions.py
+++ b/packages/cli/cassiaquay_cli/exceptions.py
@@ -1,15 +1,15 @@
-"""Errors of the command line, each with an exit code that scripts can use."""
+"""Errors of the command line, each with an exit code for scripts."""
 
 
 class CommandError(Exception):
-    """Root of this package's errors."""
+    """Base class of this package's errors."""
 
     code = "command"
     exit_code = 1
 
 
 class TextRefused(CommandError):
-    """A fleet or settings text is not accepted."""
+    """A fleet text or settings text is invalid."""
 
     code = "text_refused"
     exit_code = 2
@@ -23,33 +23,33 @@
 
 
 class NothingAnswers(CommandError):
-    """No daemon answers at the address."""
+    """No daemon responds at the address."""
 
     code = "nothing_answers"
     exit_code = 4
 
 
 class AddressMissing(NothingAnswers):
-    """No address was given to begin with."""
+    """No address of an instance was given."""
 
     code = "address_missing"
 
 
 class NotOperators(NothingAnswers):
-    """Something answers, but it is no operators' address of a daemon."""
+    """The address responds, but is not the operators' address of a daemon."""
 
     code = "not_operators_address"
 
 
 class NotAllowed(CommandError):
-    """The credential is missing, unknown or a team's."""
+    """The credential is missing, unknown, or a team's where an operator's is needed."""
 
     code = "not_allowed"
     exit_code = 5
 
 
 class Refused(CommandError):
-    """The daemon refused the call; its own code stands in the message."""
+    """The daemon refused the call; the message contains the daemon's error code."""
 
     code = "call_refused"
     exit_code = 1
@@ -63,14 +63,14 @@
 
 
 class LastInstance(CommandError):
-    """Draining this instance would leave none that serves."""
+    """No other instance serves, so this one is not drained without ``--force``."""
 
     code = "last_instance"
     exit_code = 1
 
 
 class StillThere(CommandError):
-    """The instance had not gone when the waiting time was over."""
+    """The drained instance still responded when the timeout expired."""
 
     code = "still_there"
     exit_code = 1
--- a/packages/cli/cassiaquay_cli/explain.py
+++ b/packages/cli/cassiaquay_cli/explain.py
@@ -1,4 +1,7 @@
-"""``cassiaquay explain``: which limits, tier, keeper and engine apply, and why."""
+"""``cassiaquay explain``: limits, tier, keeper and backend server of a request.
+
+The keeper is the instance that admits requests to a shard.
+"""
 
 import urllib.parse
 
@@ -8,7 +11,7 @@
 
 
 def text_of(found: bodies.Explanation) -> str:
-    """Return an explanation for people."""
+    """Format an explanation as text."""
     lines = []
     if found["id"]:
         lines.append(f"request {found['id']}: {found['state']}")
@@ -31,7 +34,7 @@
     if placement["server"]:
         lines.append(f"- backend server: {placement['server']}")
     else:
-        lines.append("- no backend server has room now: it would wait")
+        lines.append("- no backend server has free capacity now: it would wait")
     rows = []
     for item in placement["servers"]:
         load = f"{item['requests']}/{item['slots']}"
@@ -61,11 +64,11 @@
     Parameters
     ----------
     id : str
-        Request id; its owner is asked.
+        Request id; the explanation comes from the request's owner.
     service, team, tier : str
-        A described request; the team's default tier when empty.
+        A described request; without a tier, the first of the team's tiers.
     prompt_tokens, output_tokens : int
-        Its size.
+        Size of the described request.
     at : str
         Operators' address of any instance; CASSIAQUAY_ADMIN otherwise.
     json : bool
--- a/packages/cli/cassiaquay_cli/files.py
+++ b/packages/cli/cassiaquay_cli/files.py
@@ -1,4 +1,4 @@
-"""Read fleet texts from files."""
+"""Reads fleet texts from files."""
 
 import pathlib
 
@@ -9,7 +9,7 @@
 
 
 def read_fleet(path: str) -> fleet.Fleet:
-    """Return the fleet that a file describes, checked whole."""
+    """Return the fleet described by a file; raise TextRefused when it is invalid."""
     try:
         text = pathlib.Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
--- a/packages/cli/cassiaquay_cli/history.py
+++ b/packages/cli/cassiaquay_cli/history.py
@@ -9,7 +9,7 @@
 
 
 class Line(typing.NamedTuple):
-    """An event and the instance that it happened at."""
+    """An event and the instance that recorded it."""
 
     instance: str
     event: bodies.Event
@@ -30,7 +30,7 @@
 
 
 def text_of(line: Line) -> str:
-    """Return one line for people."""
+    """Format an event as one line."""
     event = line.event
     at = datetime.datetime.fromtimestamp(event["at"]).isoformat(" ", "milliseconds")
     mark = "!" if event["alarm"] else " "
@@ -55,7 +55,7 @@
     limit : int
         Lines shown.
     alarms : bool
-        Only events that an operator should look at.
+        Only events that need an operator's attention.
     at : str
         Operators' address of any instance; CASSIAQUAY_ADMIN otherwise.
     json : bool
--- a/packages/cli/cassiaquay_cli/log_lines.py
+++ b/packages/cli/cassiaquay_cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Read the daemons' log lines, key=value pairs or JSON, from files."""
+"""Parses the daemons' log files, whose lines are key=value pairs or JSON."""
 
 import pathlib
 import re
@@ -8,19 +8,19 @@
 
 from . import exceptions
 
-# A key and its value: quoted as JSON, or without blanks.
+# A key and its value, which is either a JSON string or has no spaces.
 _PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|[^ ]*)')
 
 
 class Line(typing.NamedTuple):
-    """One event.
+    """One logged event.
 
     Attributes
     ----------
     at : float
-        Unix seconds, by the clock of its instance.
+        Unix seconds, by the clock of the instance.
     instance, event : str
-        Who wrote it, and what happened.
+        Names of the instance that wrote the line and of the event.
     fields : dict of str to str
         All other pairs.
     """
@@ -32,10 +32,9 @@
 
 
 def parse(text: str) -> Line | None:
-    """Return the event of a line; None where the line is none.
+    """Return the event of a line; None when the line is not a log event.
 
-    Whatever stands before the first pair, as a collector of logs puts it there, is
-    passed over.
+    Text before the first pair is skipped, as log collectors add prefixes.
     """
     begin = text.find("{")
     found = _of_json(text[begin:]) if begin >= 0 and "at=" not in text[:begin] else None
@@ -51,7 +50,7 @@
 
 
 def read(paths: typing.Iterable[str]) -> list[Line]:
-    """Return the events of files in order of time."""
+    """Return the events of all files, sorted by time."""
     lines = []
     for path in paths:
         try:
@@ -83,7 +82,7 @@
             try:
                 value = str(msgspec.json.decode(value))
             except msgspec.DecodeError:
-                # Cut off in the middle: what is there is still of use.
+                # The string was truncated: keep the part that is there.
                 value = value[1:]
         found.setdefault(key, value)
     return found
--- a/packages/cli/cassiaquay_cli/main.py
+++ b/packages/cli/cassiaquay_cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``cassiaquay``."""
+"""Entry point of the command ``cassiaquay``."""
 
 import sys
 
@@ -24,7 +24,7 @@
 
 
 def run() -> None:
-    """Read the command line, run the command, exit with its code."""
+    """Parse the command line, run the command and exit with its code."""
     named = {name: commands.commands.get(name) for name in commands.commands.names()}
     try:
         shown = fire.Fire(named, name="cassiaquay")
--- a/packages/cli/cassiaquay_cli/outputs.py
+++ b/packages/cli/cassiaquay_cli/outputs.py
@@ -1,27 +1,27 @@
-"""How commands print: tables for people, JSON for programs, an exit code for both."""
+"""Output of commands: text or JSON, and an exit code."""
 
 import typing
 
 import msgspec
 
 COMPLETE = 0
-# Everything that could be had was printed, but some instances gave no answer.
+# The output is incomplete, as some instances did not respond.
 PARTIAL = 6
-# An objective's error budget burns too fast, or is spent.
+# The error budget of an objective burns too fast or is spent.
 BURNING = 7
 
 
 class Output(typing.NamedTuple):
-    """What a command found.
+    """Result of a command.
 
     Attributes
     ----------
     text : str
-        For people.
+        Text to print by default.
     data : object
-        The same for programs.
+        The result as printed with ``--json``.
     exit_code : int
-        For scripts.
+        Exit code of the program.
     """
 
     text: str
@@ -30,13 +30,13 @@
 
 
 class Shown(str):
-    """Printed output that carries its exit code to the end of the program."""
+    """Text to print, with the exit code that ``main`` exits with."""
 
     exit_code = COMPLETE
 
 
 def show(output: Output, as_json: bool) -> Shown:
-    """Return what is to be printed."""
+    """Return an output as text or JSON, with its exit code."""
     text = output.text
     if as_json:
         encoded = msgspec.json.encode(output.data)
@@ -47,7 +47,7 @@
 
 
 def table(header: list[str], rows: list[list[str]]) -> str:
-    """Return rows under a header, columns as wide as needed."""
+    """Format rows under a header in aligned columns."""
     widths = [len(name) for name in header]
     for row in rows:
         for index, text in enumerate(row):
@@ -60,7 +60,7 @@
 
 
 def duration(seconds: float) -> str:
-    """Return a length of time in the largest fitting unit."""
+    """Format a duration in the largest unit of which it has at least two."""
     for name, length in (("d", 86400), ("h", 3600), ("min", 60)):
         if seconds >= 2 * length:
             return f"{seconds / length:.0f} {name}"
--- a/packages/cli/cassiaquay_cli/plots.py
+++ b/packages/cli/cassiaquay_cli/plots.py
@@ -1,4 +1,4 @@
-"""Small SVG plots for pages that must not need anything else."""
+"""Small SVG bar plots for self-contained HTML pages."""
 
 import html
 import typing
@@ -11,7 +11,7 @@
 
 
 class Bar(typing.NamedTuple):
-    """One bar: its place from 0 (oldest) to 1 (now), its width, and its value."""
+    """One bar: its position from 0 (oldest) to 1 (now), its width, and its value."""
 
     start: float
     width: float
@@ -26,7 +26,7 @@
     title : str
         Caption.
     items : list of Bar
-        The bars; empty draws the axes only.
+        The bars; without any, only the axes are drawn.
     line : float
         Value of the horizontal line.
     from_label : str
--- a/packages/cli/cassiaquay_cli/status.py
+++ b/packages/cli/cassiaquay_cli/status.py
@@ -1,4 +1,4 @@
-"""``cassiaquay status``: instances, configuration, backend servers, queues."""
+"""``cassiaquay status``: instances, configuration, backend servers and queues."""
 
 import time
 import typing
@@ -9,7 +9,7 @@
 
 
 class Fleet(typing.NamedTuple):
-    """What all instances of a fleet say of themselves."""
+    """State of a fleet, collected from all its instances."""
 
     instances: list[bodies.Instance]
     statuses: clients.Collected[bodies.Status]
@@ -19,7 +19,7 @@
 
 
 async def collect(client: clients.Client) -> Fleet:
-    """Return the state of the fleet."""
+    """Collect the state of the fleet from all instances."""
     instances = await client.instances()
     statuses = await client.collect("/v1/status", bodies.Status, instances)
     servers = await client.collect("/v1/servers", list[bodies.Server], instances)
@@ -34,7 +34,7 @@
 
 
 def waiting(answers: dict[str, bodies.Queues]) -> list[bodies.Group]:
-    """Return what waits at all keepers; a team sees its own."""
+    """Return the waiting requests at all keepers; with a team's credential, its own."""
     found: list[bodies.Group] = []
     for answer in answers.values():
         found.extend(answer["waiting"])
@@ -42,7 +42,7 @@
 
 
 def shedding(answers: dict[str, bodies.Queues]) -> list[bodies.Running]:
-    """Return the shards that shed a tier now."""
+    """Return the shards that currently shed a tier."""
     found: list[bodies.Running] = []
     for answer in answers.values():
         found.extend(item for item in answer["running"] if item["shedding"])
@@ -50,7 +50,7 @@
 
 
 async def of_team(client: clients.Client) -> outputs.Output:
-    """Return what a team may see: the instances and its own waiting requests."""
+    """Return the output for a team: the instances and its own waiting requests."""
     instances = await client.instances()
     queues = await client.collect("/v1/queues", bodies.Queues, instances)
     groups, missing = waiting(queues.answers), queues.missing
@@ -72,7 +72,7 @@
 
 
 def instance_table(fleet: Fleet) -> str:
-    """Return a line for each instance."""
+    """Return a table with one row for each instance."""
     rows = []
     for item in fleet.instances:
         name = item["instance"]
@@ -100,7 +100,7 @@
 
 
 def configuration_line(fleet: Fleet) -> str:
-    """Return one line on the configuration in force."""
+    """Return the configuration in force, and a line for each newer rejected one."""
     revisions = {item["revision"] for item in fleet.statuses.answers.values()}
     if not revisions:
         return "configuration: unknown"
@@ -124,7 +124,7 @@
 
 
 def server_table(fleet: Fleet) -> str:
-    """Return a line for each backend server."""
+    """Return a table with one row for each backend server."""
     rows = []
     for item in fleet.servers:
         load = f"{item['requests']}/{item['slots']}"
@@ -136,7 +136,7 @@
 
 
 def shedding_lines(fleet: Fleet) -> list[str]:
-    """Return a line for each shard that sheds a tier now."""
+    """Return one line for each shard that currently sheds a tier."""
     lines = []
     for item in fleet.shedding:
         tier = item["shedding"]
@@ -145,7 +145,7 @@
 
 
 def queue_table(groups: list[bodies.Group]) -> str:
-    """Return a line for each tier and team that waits."""
+    """Return a table with one row for each tier and team with waiting requests."""
     rows = []
     for item in groups:
         oldest = f"{item['oldest_seconds']:.1f} s"
@@ -175,7 +175,7 @@
         try:
             fleet = await collect(client)
         except exceptions.NotAllowed:
-            # A team's credential; one that nobody knows is refused once more there.
+            # The credential may be a team's. An unknown one is refused again below.
             return await of_team(client)
         parts = [
             instance_table(fleet),
--- a/packages/cli/cassiaquay_cli/top.py
+++ b/packages/cli/cassiaquay_cli/top.py
@@ -1,4 +1,4 @@
-"""``cassiaquay top``: the fleet as it works, drawn anew every moment."""
+"""``cassiaquay top``: a live view of the fleet, redrawn periodically."""
 
 import asyncio
 import sys
@@ -14,11 +14,11 @@
 def rates(
     before: dict[str, bodies.Status], now: dict[str, bodies.Status], seconds: float
 ) -> dict[str, float]:
-    """Return ended requests a second by outcome, over all instances."""
+    """Return ended requests per second by outcome, summed over all instances."""
     found = dict.fromkeys(OUTCOMES, 0.0)
     for name, current in now.items():
         old = before.get(name)
-        # Counters of a new life of an instance begin at 0: no rate can be told.
+        # A restarted instance counts from 0 again, so no rate can be computed.
         if old is None or old["incarnation"] != current["incarnation"]:
             continue
         for outcome, count in current["ended"].items():
@@ -28,7 +28,7 @@
 
 
 def screen(fleet: status.Fleet, speed: dict[str, float]) -> str:
-    """Return one screen."""
+    """Return the text of one screen."""
     parts = [f"{outcome} {value:.1f}/s" for outcome, value in speed.items()]
     texts = [
         "  ".join(parts),
@@ -51,7 +51,7 @@
     every : float
         Seconds between two screens.
     times : int
-        Screens drawn; 0 goes on for ever.
+        Number of screens; 0 for no limit.
     at : str
         Operators' address of any instance; CASSIAQUAY_ADMIN otherwise.
     """
--- a/packages/cli/cassiaquay_cli/trace.py
+++ b/packages/cli/cassiaquay_cli/trace.py
@@ -1,4 +1,4 @@
-"""``cassiaquay trace``: what became of a request, and why, from log files alone."""
+"""``cassiaquay trace``: the outcome of a request and its cause, from log files only."""
 
 import typing
 
@@ -6,9 +6,9 @@
 
 from . import commands, log_lines, outputs
 
-# What an instance learned so long before a request's end may have decided about it.
+# Circumstances logged this long before a request's end may have influenced its outcome.
 BEFORE_SECONDS = 5.0
-# Events that say what a process believed of servers, keepers and the platform.
+# Events that report a process's view of servers, keepers and the platform.
 CIRCUMSTANCES = (
     "configuration_in_force",
     "keeper_moved",
@@ -33,16 +33,17 @@
 
 
 class Traced(typing.NamedTuple):
-    """What log files say of a request.
+    """Log lines of a request and the cause of its outcome.
 
     Attributes
     ----------
     cause : str
-        Why it ended as it did.
+        Cause of the outcome, in words.
     lines : list of Line
-        Those that carry its id, in order of time.
+        Lines with the request's id, sorted by time.
     circumstances : list of Line
-        What the instances on its way learned shortly before its end.
+        Events at the same instances, shortly before the request's end, that may have
+        influenced its outcome.
     """
 
     cause: str
@@ -111,7 +112,7 @@
 
 
 def trace(id: str, lines: Story) -> Traced:
-    """Return what became of a request."""
+    """Return the lines of a request, its cause and its circumstances."""
     story = [line for line in lines if _is_of(line.fields.get("id", ""), id)]
     if not story:
         return Traced("no line carries this id", [], [])
@@ -127,7 +128,7 @@
 
 
 def text_of(found: Traced) -> str:
-    """Return the story for people."""
+    """Format a traced request as text."""
     if not found.lines:
         return found.cause
     began = found.lines[0].at
@@ -144,14 +145,14 @@
 
 @commands.commands.register("trace")
 def show(id: str, *files: str, json: bool = False) -> outputs.Shown:
-    """Tell what became of a request, and why, from log files of the daemons.
+    """Show the outcome of a request and its cause, from log files of the daemons.
 
     Parameters
     ----------
     id : str
         The request's id, as its caller sent it.
     files : str
-        Log files of all instances; those of its keeper say why it was shed.
+        Log files of all instances; the keeper's file shows why a request was shed.
     json : bool
         Print JSON.
     """
@@ -160,7 +161,7 @@
 
 
 def _last(story: Story, event: str) -> log_lines.Line | None:
-    """Return the last line of an event."""
+    """Return the last line of the given event, None without one."""
     for line in reversed(story):
         if line.event == event:
             return line
@@ -168,7 +169,7 @@
 
 
 def _is_of(found: str, wanted: str) -> bool:
-    # Further dispatches of a request carry its id with a number.
+    # Repeated dispatches of a request append a dot and a number to its id.
     return found == wanted or found.startswith(f"{wanted}.")
 
 
