--- a/packages/cli/cassiaquay_cli/burn.py
+++ b/packages/cli/cassiaquay_cli/burn.py
@@ -7,15 +7,17 @@
 from . import burn_page, burn_sums, clients, commands, exceptions, outputs
 
 
-def text_of(report: burn_sums.Report) -> str:
+def format_text(report: burn_sums.Report) -> str:
     """Return the report for a terminal."""
     rows = []
     for item in report["objectives"]:
-        rates = [burn_page.rate(window["rate"]) for window in item["windows"]]
+        rates = [burn_page.format_rate(window["rate"]) for window in item["windows"]]
         objective = f"{item['share']:.2%} in {item['within_ms']} ms"
         row = [item["service"], item["tier"], objective, *rates]
-        rows.append([*row, burn_page.left(item["budget_left"]), item["verdict"]])
-    names = [*burn_sums.FAST, *burn_sums.SLOW]
+        rows.append(
+            [*row, burn_page.format_budget_left(item["budget_left"]), item["verdict"]]
+        )
+    names = [*burn_sums.FAST_WINDOWS, *burn_sums.SLOW_WINDOWS]
     header = ["service", "tier", "objective", *names, "budget left", "verdict"]
     parts = [outputs.table(header, rows) if rows else "no objectives are configured"]
     burners = []
@@ -60,16 +62,16 @@
         found = await client.collect("/v1/burn", bodies.Burn, instances)
         report = burn_sums.report(found)
         if html:
-            _write(str(html), burn_page.render(report))
-        code = outputs.PARTIAL if found.missing else outputs.COMPLETE
+            _write_file(str(html), burn_page.render(report))
+        code = outputs.EXIT_PARTIAL if found.missing else outputs.EXIT_COMPLETE
         if burn_sums.is_burning(report):
-            code = outputs.BURNING
-        return outputs.Output(text_of(report), report, code)
+            code = outputs.EXIT_BURNING
+        return outputs.Output(format_text(report), report, code)
 
     return outputs.show(commands.run(at, work), json)
 
 
-def _write(path: str, text: str) -> None:
+def _write_file(path: str, text: str) -> None:
     try:
         pathlib.Path(path).write_text(text)
     except OSError as error:
--- a/packages/cli/cassiaquay_cli/burn_page.py
+++ b/packages/cli/cassiaquay_cli/burn_page.py
@@ -31,16 +31,16 @@
         "<h1>Service-level burn</h1>",
         f"<p>{at}; {report['instances']} instances answered; configuration revision"
         f" {report['revision']}; {report['excluded']} requests not counted.</p>",
-        _missing(report),
-        _table(report),
+        _missing_section(report),
+        _objectives_table(report),
     ]
     for objective in report["objectives"]:
-        parts.append(_objective(report, objective))
+        parts.append(_objective_section(report, objective))
     parts.append("</body></html>")
     return "\n".join(parts)
 
 
-def _missing(report: burn_sums.Report) -> str:
+def _missing_section(report: burn_sums.Report) -> str:
     lines = missing_lines(report)
     if not lines:
         return "<p>Nothing is missing.</p>"
@@ -66,18 +66,18 @@
     return lines
 
 
-def _table(report: burn_sums.Report) -> str:
-    names = [*burn_sums.FAST, *burn_sums.SLOW]
+def _objectives_table(report: burn_sums.Report) -> str:
+    names = [*burn_sums.FAST_WINDOWS, *burn_sums.SLOW_WINDOWS]
     header = "".join(f"<th>{name}</th>" for name in names)
     rows = []
     for item in report["objectives"]:
-        rates = "".join(f"<td>{rate(w['rate'])}</td>" for w in item["windows"])
+        rates = "".join(f"<td>{format_rate(w['rate'])}</td>" for w in item["windows"])
         kind = item["verdict"].replace(" ", "-")
         rows.append(
             f"<tr><td>{html.escape(item['service'])}</td>"
             f"<td>{html.escape(item['tier'])}</td>"
             f"<td>{item['share']:.2%} in {item['within_ms']} ms</td>{rates}"
-            f"<td>{left(item['budget_left'])}</td>"
+            f"<td>{format_budget_left(item['budget_left'])}</td>"
             f'<td class="{kind}">{item["verdict"]}</td></tr>'
         )
     return (
@@ -87,7 +87,7 @@
     )
 
 
-def _objective(report: burn_sums.Report, item: burn_sums.ObjectiveBurn) -> str:
+def _objective_section(report: burn_sums.Report, item: burn_sums.ObjectiveBurn) -> str:
     parts = [f"<h2>{html.escape(item['service'])}, {html.escape(item['tier'])}</h2>"]
     for series in report["series"]:
         same = (series["service"], series["tier"]) == (item["service"], item["tier"])
@@ -122,11 +122,11 @@
     return plots.bars(f"burn rate, last {outputs.duration(span)}", items, 1.0, label)
 
 
-def rate(value: float | None) -> str:
+def format_rate(value: float | None) -> str:
     """Format a burn rate; ``-`` without requests."""
     return "-" if value is None else f"{value:.2f}"
 
 
-def left(value: float | None) -> str:
+def format_budget_left(value: float | None) -> str:
     """Format the remaining share of a budget; ``-`` without requests."""
     return "-" if value is None else f"{value:.0%}"
--- a/packages/cli/cassiaquay_cli/burn_sums.py
+++ b/packages/cli/cassiaquay_cli/burn_sums.py
@@ -11,12 +11,12 @@
 # month's budget in 1.4 hours; a rate of 1 spends the budget exactly in its period.
 PAGE_RATE = 14.4
 TICKET_RATE = 1.0
-FAST = ("5m", "1h")
-SLOW = ("6h", "3d")
-PERIOD = "3d"
-BURNERS = 5
+FAST_WINDOWS = ("5m", "1h")
+SLOW_WINDOWS = ("6h", "3d")
+PERIOD_WINDOW = "3d"
+MAX_BURNERS = 5
 # Fewer bad requests raise no alarm: with little traffic, a single one is a high rate.
-LEAST_BAD = 5
+MIN_BAD_REQUESTS = 5
 
 
 class WindowBurn(typing.TypedDict):
@@ -62,7 +62,7 @@
     burners: list[Burner]
 
 
-class Young(typing.TypedDict):
+class PartialInstance(typing.TypedDict):
     """An instance whose counts cover less than the longest window."""
 
     instance: str
@@ -97,7 +97,7 @@
     instances: int
     objectives: list[ObjectiveBurn]
     missing: list[dict[str, str]]
-    young: list[Young]
+    young: list[PartialInstance]
     coverage: dict[str, float]
     excluded: int
     series: list[Series]
@@ -114,7 +114,7 @@
         instances=len(answers),
         objectives=[_objective(item, answers) for item in objectives],
         missing=[dict(item._asdict()) for item in collected.missing],
-        young=_young(answers),
+        young=_partial_instances(answers),
         coverage=_coverage(answers, len(collected.missing)),
         excluded=sum(item["report"]["excluded"] for item in answers),
         series=[],
@@ -134,8 +134,8 @@
     objective: bodies.Objective, answers: list[bodies.Burn]
 ) -> ObjectiveBurn:
     windows = []
-    for name in (*FAST, *SLOW):
-        total, good = _sum(objective, answers, name, "all").get("", (0, 0))
+    for name in (*FAST_WINDOWS, *SLOW_WINDOWS):
+        total, good = _sum_by_name(objective, answers, name, "all").get("", (0, 0))
         windows.append(
             WindowBurn(
                 name=name,
@@ -144,8 +144,8 @@
                 rate=rate(objective["share"], total, good),
             )
         )
-    period = windows[-1]
-    left = None if period["rate"] is None else 1.0 - period["rate"]
+    period_window = windows[-1]
+    left = None if period_window["rate"] is None else 1.0 - period_window["rate"]
     return ObjectiveBurn(
         service=objective["service"],
         tier=objective["tier"],
@@ -158,7 +158,7 @@
     )
 
 
-def _sum(
+def _sum_by_name(
     objective: bodies.Objective, answers: list[bodies.Burn], window: str, axis: str
 ) -> dict[str, tuple[int, int]]:
     found: dict[str, tuple[int, int]] = {}
@@ -199,39 +199,46 @@
         return "no data"
     # An alarm needs both windows of a pair: the long one shows that the loss is
     # significant, the short one that it continues.
-    if bad[FAST[-1]] < LEAST_BAD and bad[SLOW[-1]] < LEAST_BAD:
+    if (
+        bad[FAST_WINDOWS[-1]] < MIN_BAD_REQUESTS
+        and bad[SLOW_WINDOWS[-1]] < MIN_BAD_REQUESTS
+    ):
         return "ok"
-    if all((rates[name] or 0.0) >= PAGE_RATE for name in FAST):
+    if all((rates[name] or 0.0) >= PAGE_RATE for name in FAST_WINDOWS):
         return "page"
-    if all((rates[name] or 0.0) >= TICKET_RATE for name in SLOW):
+    if all((rates[name] or 0.0) >= TICKET_RATE for name in SLOW_WINDOWS):
         return "ticket"
     return "ok"
 
 
 def _burners(objective: bodies.Objective, answers: list[bodies.Burn]) -> list[Burner]:
-    total, good = _sum(objective, answers, PERIOD, "all").get("", (0, 0))
+    total, good = _sum_by_name(objective, answers, PERIOD_WINDOW, "all").get("", (0, 0))
     found = []
     for axis in ("team", "server"):
         rows = []
-        for name, (mine, mine_good) in _sum(objective, answers, PERIOD, axis).items():
-            bad = mine - mine_good
+        for name, (name_total, name_good) in _sum_by_name(
+            objective, answers, PERIOD_WINDOW, axis
+        ).items():
+            bad = name_total - name_good
             if not bad:
                 continue
             part = bad / max(total - good, 1)
-            rows.append(Burner(axis=axis, name=name, bad=bad, total=mine, part=part))
+            rows.append(
+                Burner(axis=axis, name=name, bad=bad, total=name_total, part=part)
+            )
         rows.sort(key=lambda row: row["bad"], reverse=True)
-        found += rows[:BURNERS]
+        found += rows[:MAX_BURNERS]
     return found
 
 
-def _young(answers: list[bodies.Burn]) -> list[Young]:
+def _partial_instances(answers: list[bodies.Burn]) -> list[PartialInstance]:
     found = []
     for answer in answers:
         window = answer["report"]["windows"][-1]
         if window["counted_seconds"] >= window["seconds"]:
             continue
         found.append(
-            Young(
+            PartialInstance(
                 instance=answer["instance"],
                 incarnation=answer["incarnation"],
                 since=answer["since"],
@@ -244,7 +251,7 @@
 def _coverage(answers: list[bodies.Burn], missing: int) -> dict[str, float]:
     """Return by window the share of the instances' time that their counts cover."""
     found = {}
-    for name in (*FAST, *SLOW):
+    for name in (*FAST_WINDOWS, *SLOW_WINDOWS):
         counted = 0.0
         for answer in answers:
             for window in answer["report"]["windows"]:
@@ -274,16 +281,14 @@
             bucket = buckets.setdefault(int(point["age_seconds"] / seconds), [0, 0])
             bucket[0] += point["total"]
             bucket[1] += point["good"]
-    points_found = []
+    plot_points = []
     for number in sorted(buckets, reverse=True):
         total, good = buckets[number]
-        points_found.append(
-            Bucket(age_seconds=number * seconds, total=total, good=good)
-        )
+        plot_points.append(Bucket(age_seconds=number * seconds, total=total, good=good))
     return Series(
         service=objective["service"],
         tier=objective["tier"],
         ring=ring,
         bucket_seconds=seconds,
-        points=points_found,
+        points=plot_points,
     )
--- a/packages/cli/cassiaquay_cli/check.py
+++ b/packages/cli/cassiaquay_cli/check.py
@@ -8,7 +8,7 @@
 from . import commands, files, outputs
 
 
-class Sizes(typing.TypedDict):
+class ItemCounts(typing.TypedDict):
     """Numbers of the items in an accepted text."""
 
     services: int
@@ -30,7 +30,7 @@
         Print JSON.
     """
     found = files.read_fleet(str(file))
-    sizes = Sizes(
+    counts = ItemCounts(
         services=len(found.services),
         pools=len(found.pools),
         servers=sum(len(pool.servers) for pool in found.pools.values()),
@@ -38,8 +38,8 @@
         teams=len(found.teams),
     )
     text = (
-        f"accepted: {sizes['services']} services, {sizes['pools']} pools,"
-        f" {sizes['servers']} backend servers, {sizes['tiers']} tiers,"
-        f" {sizes['teams']} teams"
+        f"accepted: {counts['services']} services, {counts['pools']} pools,"
+        f" {counts['servers']} backend servers, {counts['tiers']} tiers,"
+        f" {counts['teams']} teams"
     )
-    return outputs.show(outputs.Output(text, sizes), json)
+    return outputs.show(outputs.Output(text, counts), json)
--- a/packages/cli/cassiaquay_cli/clients.py
+++ b/packages/cli/cassiaquay_cli/clients.py
@@ -64,18 +64,18 @@
         self._http = http
         self._credential = os.environ.get(CREDENTIAL_VARIABLE, "")
 
-    async def begin(self) -> None:
-        """Select the first address that responds; raise NothingAnswers when none does.
+    async def select_address(self) -> None:
+        """Select the first address that responds; raise NoResponse when none does.
 
         An instance that refuses the health call, as it is not ready, has responded.
         """
-        last: exceptions.NothingAnswers | None = None
+        last: exceptions.NoResponse | None = None
         for address in self.addresses:
             try:
                 await self.get("/v1/health", bodies.Health, address)
             except exceptions.Refused:
                 pass
-            except exceptions.NothingAnswers as error:
+            except exceptions.NoResponse as error:
                 last = error
                 continue
             self.at = address
@@ -83,13 +83,13 @@
         if last is not None:
             raise last
 
-    async def get(self, path: str, shape: type[Body], at: str = "") -> Body:
+    async def get(self, path: str, body_type: type[Body], at: str = "") -> Body:
         """Return the decoded response of one instance."""
         body = await self._call("GET", at or self.at, path)
         try:
-            return msgspec.json.decode(body, type=shape)
+            return msgspec.json.decode(body, type=body_type)
         except msgspec.DecodeError as error:
-            raise exceptions.NotOperators(
+            raise exceptions.NotOperatorsAddress(
                 f"{at or self.at} answers {path} with something else: {error}"
             ) from error
 
@@ -102,19 +102,19 @@
         return await self.get("/v1/instances", list[bodies.Instance])
 
     async def collect(
-        self, path: str, shape: type[Body], instances: list[bodies.Instance]
+        self, path: str, body_type: type[Body], instances: list[bodies.Instance]
     ) -> Collected[Body]:
         """Call all instances; return their responses and those that sent none."""
         answers: dict[str, Body] = {}
         missing = []
-        asked = [item for item in instances if item["admin"]]
+        reachable = [item for item in instances if item["admin"]]
         for item in instances:
             if not item["admin"]:
                 reason = "listed by the platform, but no heartbeat of it is heard"
                 missing.append(Missing(item["instance"], reason))
-        calls = [self.get(path, shape, item["admin"]) for item in asked]
+        calls = [self.get(path, body_type, item["admin"]) for item in reachable]
         found = await asyncio.gather(*calls, return_exceptions=True)
-        for item, answer in zip(asked, found, strict=True):
+        for item, answer in zip(reachable, found, strict=True):
             if isinstance(answer, exceptions.NotAllowed):
                 raise answer
             if isinstance(answer, exceptions.CommandError):
@@ -136,11 +136,11 @@
         try:
             async with request as response:
                 body = await response.read()
-                _check(at, path, response.status, body)
+                _raise_for_status(at, path, response.status, body)
                 return body
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            raise exceptions.NothingAnswers(
-                f"no daemon answers at {at} ({_cause(error)}); is it up, and is this"
+            raise exceptions.NoResponse(
+                f"no daemon answers at {at} ({_describe(error)}); is it up, and is this"
                 " its `admin=` address rather than `http=` or `peer=`? Any other"
                 " instance of the fleet does as well"
             ) from error
@@ -151,7 +151,7 @@
     return [f"no answer of {item.instance}: {item.reason}" for item in missing]
 
 
-def _check(at: str, path: str, status: int, body: bytes) -> None:
+def _raise_for_status(at: str, path: str, status: int, body: bytes) -> None:
     if status < 300:
         return
     try:
@@ -165,7 +165,7 @@
             f"{message}; put the credential into {CREDENTIAL_VARIABLE}"
         )
     if not code:
-        raise exceptions.NotOperators(
+        raise exceptions.NotOperatorsAddress(
             f"something answers at {at}, but does not know {path} (status {status});"
             " is it the callers' address? The operators' is `admin=` in the log line"
             " `ready`"
@@ -173,7 +173,7 @@
     raise exceptions.Refused(message)
 
 
-def _cause(error: Exception) -> str:
+def _describe(error: Exception) -> str:
     if isinstance(error, aiohttp.ClientConnectorError):
         return error.os_error.strerror or str(error)
     if isinstance(error, TimeoutError):
--- a/packages/cli/cassiaquay_cli/commands.py
+++ b/packages/cli/cassiaquay_cli/commands.py
@@ -20,10 +20,10 @@
 def run(at: str, work: Work) -> outputs.Output:
     """Run ``work`` with a client that starts at ``at`` and return its output."""
 
-    async def inside() -> outputs.Output:
+    async def run_work() -> outputs.Output:
         async with aiohttp.ClientSession() as http:
             client = clients.Client(str(at), http)
-            await client.begin()
+            await client.select_address()
             return await work(client)
 
-    return asyncio.run(inside())
+    return asyncio.run(run_work())
--- a/packages/cli/cassiaquay_cli/diff.py
+++ b/packages/cli/cassiaquay_cli/diff.py
@@ -15,7 +15,7 @@
         Print JSON.
     """
     before, after = files.read_fleet(str(old)), files.read_fleet(str(new))
-    found = differences.between(before, after)
+    found = differences.compare(before, after)
     lines = []
     for item in found:
         left, right = item.before or "(none)", item.after or "(none)"
--- a/packages/cli/cassiaquay_cli/differences.py
+++ b/packages/cli/cassiaquay_cli/differences.py
@@ -25,10 +25,10 @@
     after: str
 
 
-def between(old: fleet.Fleet, new: fleet.Fleet) -> list[Difference]:
+def compare(old: fleet.Fleet, new: fleet.Fleet) -> list[Difference]:
     """Return the differences, sorted by path."""
-    before = dict(_leaves((), msgspec.to_builtins(old)))
-    after = dict(_leaves((), msgspec.to_builtins(new)))
+    before = dict(_leaf_values((), msgspec.to_builtins(old)))
+    after = dict(_leaf_values((), msgspec.to_builtins(new)))
     found = []
     for path in sorted(before.keys() | after.keys()):
         if before.get(path) == after.get(path):
@@ -38,14 +38,14 @@
     return found
 
 
-def _leaves(path: Path, value: object) -> typing.Iterator[tuple[Path, str]]:
+def _leaf_values(path: Path, value: object) -> typing.Iterator[tuple[Path, str]]:
     if isinstance(value, dict):
         for key, item in value.items():
-            yield from _leaves((*path, str(key)), item)
+            yield from _leaf_values((*path, str(key)), item)
         return
     if isinstance(value, list) and value and isinstance(value[0], dict):
         for index, item in enumerate(value):
             name = item.get("name", str(index))
-            yield from _leaves((*path, str(name)), item)
+            yield from _leaf_values((*path, str(name)), item)
         return
     yield path, msgspec.json.encode(value).decode()
--- a/packages/cli/cassiaquay_cli/drain.py
+++ b/packages/cli/cassiaquay_cli/drain.py
@@ -9,7 +9,9 @@
 POLL_SECONDS = 0.3
 
 
-def find(instances: list[bodies.Instance], name: str, force: bool) -> bodies.Instance:
+def find_instance(
+    instances: list[bodies.Instance], name: str, force: bool
+) -> bodies.Instance:
     """Return the instance to drain.
 
     Raise UnknownInstance when no live instance has this name, and LastInstance when no
@@ -32,16 +34,16 @@
     return named[0]
 
 
-async def gone(client: clients.Client, address: str, timeout: float) -> None:
-    """Wait until an instance stops responding; raise StillThere after ``timeout``."""
+async def wait_until_gone(client: clients.Client, address: str, timeout: float) -> None:
+    """Wait until an instance stops responding; raise DrainTimeout after ``timeout``."""
     end = asyncio.get_running_loop().time() + timeout
     while True:
         try:
             await client.get("/v1/status", bodies.Status, address)
-        except exceptions.NothingAnswers:
+        except exceptions.NoResponse:
             return
         if asyncio.get_running_loop().time() > end:
-            raise exceptions.StillThere(
+            raise exceptions.DrainTimeout(
                 f"it still works on open requests after {timeout:g} s; it ends when"
                 " they have: `cassiaquay status` shows how many"
             )
@@ -76,10 +78,10 @@
     """
 
     async def work(client: clients.Client) -> outputs.Output:
-        chosen = find(await client.instances(), str(instance), force)
+        chosen = find_instance(await client.instances(), str(instance), force)
         await client.post("/v1/drain", chosen["admin"])
         if wait:
-            await gone(client, chosen["admin"], timeout)
+            await wait_until_gone(client, chosen["admin"], timeout)
         text = f"{instance} has gone" if wait else f"{instance} leaves"
         return outputs.Output(text, {"instance": instance, "gone": wait})
 
--- a/packages/cli/cassiaquay_cli/exceptions.py
+++ b/packages/cli/cassiaquay_cli/exceptions.py
@@ -22,20 +22,20 @@
     exit_code = 3
 
 
-class NothingAnswers(CommandError):
+class NoResponse(CommandError):
     """No daemon responds at the address."""
 
     code = "nothing_answers"
     exit_code = 4
 
 
-class AddressMissing(NothingAnswers):
+class AddressMissing(NoResponse):
     """No address of an instance was given."""
 
     code = "address_missing"
 
 
-class NotOperators(NothingAnswers):
+class NotOperatorsAddress(NoResponse):
     """The address responds, but is not the operators' address of a daemon."""
 
     code = "not_operators_address"
@@ -69,7 +69,7 @@
     exit_code = 1
 
 
-class StillThere(CommandError):
+class DrainTimeout(CommandError):
     """The drained instance still responded when the timeout expired."""
 
     code = "still_there"
--- a/packages/cli/cassiaquay_cli/explain.py
+++ b/packages/cli/cassiaquay_cli/explain.py
@@ -10,7 +10,7 @@
 from . import clients, commands, outputs
 
 
-def text_of(found: bodies.Explanation) -> str:
+def format_text(found: bodies.Explanation) -> str:
     """Format an explanation as text."""
     lines = []
     if found["id"]:
@@ -86,6 +86,6 @@
 
     async def work(client: clients.Client) -> outputs.Output:
         found = await client.get(path, bodies.Explanation)
-        return outputs.Output(text_of(found), found)
+        return outputs.Output(format_text(found), found)
 
     return outputs.show(commands.run(at, work), json)
--- a/packages/cli/cassiaquay_cli/history.py
+++ b/packages/cli/cassiaquay_cli/history.py
@@ -29,7 +29,7 @@
     return lines[-limit:]
 
 
-def text_of(line: Line) -> str:
+def format_text(line: Line) -> str:
     """Format an event as one line."""
     event = line.event
     at = datetime.datetime.fromtimestamp(event["at"]).isoformat(" ", "milliseconds")
@@ -66,13 +66,13 @@
         instances = await client.instances()
         found = await client.collect("/v1/history", list[bodies.Event], instances)
         lines = merge(found, limit, alarms)
-        texts = [text_of(line) for line in lines] or ["nothing has happened"]
+        texts = [format_text(line) for line in lines] or ["nothing has happened"]
         texts += clients.missing_lines(found.missing)
         data = {
             "events": [{"instance": i, **event} for i, event in lines],
             "missing": [item._asdict() for item in found.missing],
         }
-        code = outputs.PARTIAL if found.missing else outputs.COMPLETE
+        code = outputs.EXIT_PARTIAL if found.missing else outputs.EXIT_COMPLETE
         return outputs.Output("\n".join(texts), data, code)
 
     return outputs.show(commands.run(at, work), json)
--- a/packages/cli/cassiaquay_cli/log_lines.py
+++ b/packages/cli/cassiaquay_cli/log_lines.py
@@ -36,10 +36,12 @@
 
     Text before the first pair is skipped, as log collectors add prefixes.
     """
-    begin = text.find("{")
-    found = _of_json(text[begin:]) if begin >= 0 and "at=" not in text[:begin] else None
+    start = text.find("{")
+    found = (
+        _parse_json(text[start:]) if start >= 0 and "at=" not in text[:start] else None
+    )
     if found is None:
-        found = _of_pairs(text)
+        found = _parse_pairs(text)
     if "at" not in found or "event" not in found:
         return None
     try:
@@ -65,7 +67,7 @@
     return lines
 
 
-def _of_json(text: str) -> dict[str, str] | None:
+def _parse_json(text: str) -> dict[str, str] | None:
     try:
         found = msgspec.json.decode(text)
     except msgspec.DecodeError:
@@ -75,7 +77,7 @@
     return {str(key): str(value) for key, value in found.items() if value is not None}
 
 
-def _of_pairs(text: str) -> dict[str, str]:
+def _parse_pairs(text: str) -> dict[str, str]:
     found: dict[str, str] = {}
     for key, value in _PAIR.findall(text):
         if value.startswith('"'):
--- a/packages/cli/cassiaquay_cli/main.py
+++ b/packages/cli/cassiaquay_cli/main.py
@@ -25,14 +25,16 @@
 
 def run() -> None:
     """Parse the command line, run the command and exit with its code."""
-    named = {name: commands.commands.get(name) for name in commands.commands.names()}
+    functions = {
+        name: commands.commands.get(name) for name in commands.commands.names()
+    }
     try:
-        shown = fire.Fire(named, name="cassiaquay")
+        shown = fire.Fire(functions, name="cassiaquay")
     except exceptions.CommandError as error:
         print(f"cassiaquay: {error.code}: {error}", file=sys.stderr)
         raise SystemExit(error.exit_code) from error
     except KeyboardInterrupt:
-        raise SystemExit(outputs.COMPLETE) from None
+        raise SystemExit(outputs.EXIT_COMPLETE) from None
     if isinstance(shown, outputs.Shown):
         raise SystemExit(shown.exit_code)
 
--- a/packages/cli/cassiaquay_cli/outputs.py
+++ b/packages/cli/cassiaquay_cli/outputs.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-COMPLETE = 0
+EXIT_COMPLETE = 0
 # The output is incomplete, as some instances did not respond.
-PARTIAL = 6
+EXIT_PARTIAL = 6
 # The error budget of an objective burns too fast or is spent.
-BURNING = 7
+EXIT_BURNING = 7
 
 
 class Output(typing.NamedTuple):
@@ -26,13 +26,13 @@
 
     text: str
     data: object
-    exit_code: int = COMPLETE
+    exit_code: int = EXIT_COMPLETE
 
 
 class Shown(str):
     """Text to print, with the exit code that ``main`` exits with."""
 
-    exit_code = COMPLETE
+    exit_code = EXIT_COMPLETE
 
 
 def show(output: Output, as_json: bool) -> Shown:
--- a/packages/cli/cassiaquay_cli/plots.py
+++ b/packages/cli/cassiaquay_cli/plots.py
@@ -35,7 +35,7 @@
     highest = max([line * 1.2, *(item.value for item in items)])
     inner_width = WIDTH - LEFT - 4
     inner_height = HEIGHT - TOP - BOTTOM
-    floor = HEIGHT - BOTTOM
+    base = HEIGHT - BOTTOM
 
     def height(value: float) -> float:
         return inner_height * value / highest
@@ -48,17 +48,17 @@
     for item in items:
         x = LEFT + inner_width * item.start
         width = max(inner_width * item.width - 0.5, 1.0)
-        kind = "over" if item.value > line else "under"
+        css_class = "over" if item.value > line else "under"
         parts.append(
-            f'<rect class="{kind}" x="{x:.1f}" y="{floor - height(item.value):.1f}"'
+            f'<rect class="{css_class}" x="{x:.1f}" y="{base - height(item.value):.1f}"'
             f' width="{width:.1f}" height="{height(item.value):.1f}"/>'
         )
-    at = floor - height(line)
+    y = base - height(line)
     right = LEFT + inner_width
     parts += [
-        f'<line class="limit" x1="{LEFT}" x2="{right}" y1="{at:.1f}" y2="{at:.1f}"/>',
-        f'<line class="axis" x1="{LEFT}" x2="{right}" y1="{floor}" y2="{floor}"/>',
-        f'<text x="{LEFT - 4}" y="{at + 4:.1f}" class="right">{line:g}</text>',
+        f'<line class="limit" x1="{LEFT}" x2="{right}" y1="{y:.1f}" y2="{y:.1f}"/>',
+        f'<line class="axis" x1="{LEFT}" x2="{right}" y1="{base}" y2="{base}"/>',
+        f'<text x="{LEFT - 4}" y="{y + 4:.1f}" class="right">{line:g}</text>',
         f'<text x="{LEFT - 4}" y="{TOP + 8}" class="right">{highest:.3g}</text>',
         f'<text x="{LEFT}" y="{HEIGHT - 6}">{html.escape(from_label)}</text>',
         f'<text x="{right}" y="{HEIGHT - 6}" class="right">now</text>',
--- a/packages/cli/cassiaquay_cli/status.py
+++ b/packages/cli/cassiaquay_cli/status.py
@@ -29,11 +29,15 @@
         lines.extend(found)
     lines.sort(key=lambda line: (line["shard"], line["server"]))
     return Fleet(
-        instances, statuses, lines, waiting(queues.answers), shedding(queues.answers)
+        instances,
+        statuses,
+        lines,
+        all_waiting(queues.answers),
+        shedding_shards(queues.answers),
     )
 
 
-def waiting(answers: dict[str, bodies.Queues]) -> list[bodies.Group]:
+def all_waiting(answers: dict[str, bodies.Queues]) -> list[bodies.Group]:
     """Return the waiting requests at all keepers; with a team's credential, its own."""
     found: list[bodies.Group] = []
     for answer in answers.values():
@@ -41,7 +45,7 @@
     return found
 
 
-def shedding(answers: dict[str, bodies.Queues]) -> list[bodies.Running]:
+def shedding_shards(answers: dict[str, bodies.Queues]) -> list[bodies.Running]:
     """Return the shards that currently shed a tier."""
     found: list[bodies.Running] = []
     for answer in answers.values():
@@ -49,11 +53,11 @@
     return found
 
 
-async def of_team(client: clients.Client) -> outputs.Output:
+async def team_output(client: clients.Client) -> outputs.Output:
     """Return the output for a team: the instances and its own waiting requests."""
     instances = await client.instances()
     queues = await client.collect("/v1/queues", bodies.Queues, instances)
-    groups, missing = waiting(queues.answers), queues.missing
+    groups, missing = all_waiting(queues.answers), queues.missing
     rows = []
     for item in instances:
         rows.append([item["instance"], item["domain"], item["state"], item["http"]])
@@ -67,7 +71,7 @@
         "waiting": groups,
         "missing": [item._asdict() for item in missing],
     }
-    code = outputs.PARTIAL if missing else outputs.COMPLETE
+    code = outputs.EXIT_PARTIAL if missing else outputs.EXIT_COMPLETE
     return outputs.Output("\n\n".join(texts), data, code)
 
 
@@ -176,7 +180,7 @@
             fleet = await collect(client)
         except exceptions.NotAllowed:
             # The credential may be a team's. An unknown one is refused again below.
-            return await of_team(client)
+            return await team_output(client)
         parts = [
             instance_table(fleet),
             configuration_line(fleet),
@@ -193,7 +197,9 @@
             "waiting": fleet.waiting,
             "shedding": fleet.shedding,
         }
-        partial = outputs.PARTIAL if fleet.statuses.missing else outputs.COMPLETE
-        return outputs.Output("\n\n".join(parts), data, partial)
+        exit_code = (
+            outputs.EXIT_PARTIAL if fleet.statuses.missing else outputs.EXIT_COMPLETE
+        )
+        return outputs.Output("\n\n".join(parts), data, exit_code)
 
     return outputs.show(commands.run(at, work), json)
--- a/packages/cli/cassiaquay_cli/top.py
+++ b/packages/cli/cassiaquay_cli/top.py
@@ -11,7 +11,7 @@
 OUTCOMES = ("completed", "not_run", "outcome_unknown", "failed")
 
 
-def rates(
+def outcome_rates(
     before: dict[str, bodies.Status], now: dict[str, bodies.Status], seconds: float
 ) -> dict[str, float]:
     """Return ended requests per second by outcome, summed over all instances."""
@@ -27,7 +27,7 @@
     return found
 
 
-def screen(fleet: status.Fleet, speed: dict[str, float]) -> str:
+def format_screen(fleet: status.Fleet, speed: dict[str, float]) -> str:
     """Return the text of one screen."""
     parts = [f"{outcome} {value:.1f}/s" for outcome, value in speed.items()]
     texts = [
@@ -63,7 +63,7 @@
             await asyncio.sleep(every)
             fleet = await status.collect(client)
             now = fleet.statuses.answers
-            text = screen(fleet, rates(before, now, every))
+            text = format_screen(fleet, outcome_rates(before, now, every))
             before = now
             drawn += 1
             if times and drawn >= times:
--- a/packages/cli/cassiaquay_cli/trace.py
+++ b/packages/cli/cassiaquay_cli/trace.py
@@ -7,7 +7,7 @@
 from . import commands, log_lines, outputs
 
 # Circumstances logged this long before a request's end may have influenced its outcome.
-BEFORE_SECONDS = 5.0
+CIRCUMSTANCES_WINDOW_SECONDS = 5.0
 # Events that report a process's view of servers, keepers and the platform.
 CIRCUMSTANCES = (
     "configuration_in_force",
@@ -27,8 +27,8 @@
     "servers_unreadable",
 )
 
-Story = list[log_lines.Line]
-Cause = typing.Callable[[Story], str]
+Lines = list[log_lines.Line]
+Cause = typing.Callable[[Lines], str]
 causes: registry.Registry[Cause] = registry.Registry("cause")
 
 
@@ -47,19 +47,19 @@
     """
 
     cause: str
-    lines: Story
-    circumstances: Story
+    lines: Lines
+    circumstances: Lines
 
 
 @causes.register("limit_reached")
-def _limit_reached(story: Story) -> str:
-    wait = story[-1].fields.get("retry_after_ms", "?")
+def _limit_reached(request_lines: Lines) -> str:
+    wait = request_lines[-1].fields.get("retry_after_ms", "?")
     return f"its team was over its limit; nothing was sent; back in {wait} ms"
 
 
 @causes.register("shed_overload")
-def _shed(story: Story) -> str:
-    line = _last(story, "shed")
+def _shed(request_lines: Lines) -> str:
+    line = _last_line(request_lines, "shed")
     if line is None:
         return "no slot in time; the keeper's own line is not in these files"
     fields = line.fields
@@ -71,8 +71,8 @@
 
 
 @causes.register("answer_lost")
-def _answer_lost(story: Story) -> str:
-    line = _last(story, "answer_cut")
+def _answer_lost(request_lines: Lines) -> str:
+    line = _last_line(request_lines, "answer_cut")
     if line is None:
         return "a server broke off; its line is not in these files"
     fields = line.fields
@@ -83,62 +83,64 @@
 
 
 @causes.register("deadline_exceeded")
-def _deadline(story: Story) -> str:
-    sent = _last(story, "dispatch")
+def _deadline(request_lines: Lines) -> str:
+    sent = _last_line(request_lines, "dispatch")
     server = sent.fields.get("server") if sent is not None else "no server"
     return f"{server} had it and gave no whole answer before the deadline"
 
 
 @causes.register("deadline_infeasible")
-def _infeasible(story: Story) -> str:
+def _infeasible(request_lines: Lines) -> str:
     return "its deadline passed before it was sent to any server"
 
 
 @causes.register("unauthorized")
-def _unauthorized(story: Story) -> str:
+def _unauthorized(request_lines: Lines) -> str:
     return "its key belongs to no team in the configuration in force there"
 
 
 @causes.register("no_route")
-def _no_route(story: Story) -> str:
+def _no_route(request_lines: Lines) -> str:
     return "no route of the configuration in force there has its host and path"
 
 
 @causes.register("caller_gone")
-def _caller_gone(story: Story) -> str:
-    fields = story[-1].fields
+def _caller_gone(request_lines: Lines) -> str:
+    fields = request_lines[-1].fields
     had = "a server had it" if fields.get("sent") == "true" else "no server had it"
     return f"its caller closed first, after {fields.get('ms')} ms; {had}"
 
 
-def trace(id: str, lines: Story) -> Traced:
+def trace(id: str, lines: Lines) -> Traced:
     """Return the lines of a request, its cause and its circumstances."""
-    story = [line for line in lines if _is_of(line.fields.get("id", ""), id)]
-    if not story:
+    request_lines = [
+        line for line in lines if _is_same_request(line.fields.get("id", ""), id)
+    ]
+    if not request_lines:
         return Traced("no line carries this id", [], [])
-    end = story[-1]
-    instances = {line.instance for line in story}
-    around = []
+    end = request_lines[-1]
+    instances = {line.instance for line in request_lines}
+    circumstances = []
     for line in lines:
         if line.event not in CIRCUMSTANCES or line.instance not in instances:
             continue
-        if end.at - BEFORE_SECONDS <= line.at <= end.at:
-            around.append(line)
-    return Traced(_cause(story), story, around)
+        if end.at - CIRCUMSTANCES_WINDOW_SECONDS <= line.at <= end.at:
+            circumstances.append(line)
+    return Traced(_cause(request_lines), request_lines, circumstances)
 
 
-def text_of(found: Traced) -> str:
+def format_text(found: Traced) -> str:
     """Format a traced request as text."""
     if not found.lines:
         return found.cause
-    began = found.lines[0].at
+    start_at = found.lines[0].at
     parts = [f"cause: {found.cause}", ""]
-    parts.append(outputs.table(["ms", "instance", "event", ""], _rows(found, began)))
+    parts.append(outputs.table(["ms", "instance", "event", ""], _rows(found, start_at)))
     if found.circumstances:
         parts += ["", "learned there shortly before:"]
-        around = found._replace(lines=found.circumstances)
+        shown = found._replace(lines=found.circumstances)
         parts.append(
-            outputs.table(["ms", "instance", "event", ""], _rows(around, began))
+            outputs.table(["ms", "instance", "event", ""], _rows(shown, start_at))
         )
     return "\n".join(parts)
 
@@ -157,37 +159,37 @@
         Print JSON.
     """
     found = trace(str(id), log_lines.read(files))
-    return outputs.show(outputs.Output(text_of(found), found), json)
+    return outputs.show(outputs.Output(format_text(found), found), json)
 
 
-def _last(story: Story, event: str) -> log_lines.Line | None:
+def _last_line(request_lines: Lines, event: str) -> log_lines.Line | None:
     """Return the last line of the given event, None without one."""
-    for line in reversed(story):
+    for line in reversed(request_lines):
         if line.event == event:
             return line
     return None
 
 
-def _is_of(found: str, wanted: str) -> bool:
+def _is_same_request(found: str, wanted: str) -> bool:
     # Repeated dispatches of a request append a dot and a number to its id.
     return found == wanted or found.startswith(f"{wanted}.")
 
 
-def _cause(story: Story) -> str:
-    end = story[-1]
+def _cause(request_lines: Lines) -> str:
+    end = request_lines[-1]
     code = end.event if end.event == "caller_gone" else end.fields.get("code", "")
     if code in causes.names():
-        return causes.get(code)(story)
+        return causes.get(code)(request_lines)
     if end.fields.get("outcome") == "completed":
         return f"{end.fields.get('server')} answered it; nothing went wrong here"
     return f"it ended with {code or end.event}; docs/ERRORS.md tells of this code"
 
 
-def _rows(found: Traced, began: float) -> list[list[str]]:
+def _rows(found: Traced, start_at: float) -> list[list[str]]:
     rows = []
     for line in found.lines:
         hidden = ("level", "id")
         pairs = [f"{k}={v}" for k, v in line.fields.items() if k not in hidden]
-        passed = f"{(line.at - began) * 1000.0:.1f}"
-        rows.append([passed, line.instance, line.event, " ".join(pairs)])
+        elapsed_ms = f"{(line.at - start_at) * 1000.0:.1f}"
+        rows.append([elapsed_ms, line.instance, line.event, " ".join(pairs)])
     return rows
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -107,8 +107,8 @@
         instances = await client.instances()
         found = await client.collect("/v1/history", list[bodies.Event], instances)
         lines = history.merge(found, 50, False)
-        assert "code=shed_overload" in history.text_of(lines[-1])
-        assert "message=engines are full" in history.text_of(lines[-1])
+        assert "code=shed_overload" in history.format_text(lines[-1])
+        assert "message=engines are full" in history.format_text(lines[-1])
         assert not history.merge(found, 50, True)
 
     _run(test)
@@ -118,7 +118,7 @@
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
         instance.kept._shard("engines#0")
         path = "/v1/explain?service=tutor-assist&team=feedback"
-        text = explain.text_of(await client.get(path, bodies.Explanation))
+        text = explain.format_text(await client.get(path, bodies.Explanation))
         assert "tier urgent (rank 0)" in text
         assert "kept by cq-1" in text
         assert "backend server: tutor-1" in text
@@ -130,15 +130,15 @@
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
         instances = await client.instances()
         with pytest.raises(exceptions.LastInstance):
-            drain.find(instances, "cq-1", False)
+            drain.find_instance(instances, "cq-1", False)
         with pytest.raises(exceptions.UnknownInstance, match="live: cq-1"):
-            drain.find(instances, "cq-7", False)
-        chosen = drain.find(instances, "cq-1", True)
+            drain.find_instance(instances, "cq-7", False)
+        chosen = drain.find_instance(instances, "cq-1", True)
         await client.post("/v1/drain", chosen["admin"])
         assert instance.drained
-        with pytest.raises(exceptions.StillThere):
-            await drain.gone(client, client.at, 0.1)
-        await drain.gone(client, DEAD, 5.0)
+        with pytest.raises(exceptions.DrainTimeout):
+            await drain.wait_until_gone(client, client.at, 0.1)
+        await drain.wait_until_gone(client, DEAD, 5.0)
 
     _run(test)
 
@@ -150,7 +150,7 @@
         assert list(found.answers) == ["cq-1"]
         with pytest.raises(exceptions.NotAllowed, match="CASSIAQUAY_CREDENTIAL"):
             await client.get("/v1/status", bodies.Status)
-        output = await status.of_team(client)
+        output = await status.team_output(client)
         assert "cq-1" in output.text
         assert "nothing waits" in output.text
 
@@ -169,7 +169,7 @@
         instance.membership.listed["cq-9"] = platform.Listed(
             "cq-9", "derby", "entry", "h:1", "p:1", False
         )
-        for number in range(burn_sums.LEAST_BAD):
+        for number in range(burn_sums.MIN_BAD_REQUESTS):
             report = await _burn_report(client)
             assert report["objectives"][0]["verdict"] in ("no data", "ok")
             entry = instance.entry("feedback", unique=f"u{number}")
@@ -181,7 +181,7 @@
         assert [item["name"] for item in urgent["burners"]] == ["feedback", "(none)"]
         assert report["objectives"][1]["verdict"] == "no data"
         assert burn_sums.is_burning(report)
-        text = burn.text_of(report)
+        text = burn.format_text(report)
         assert "cq-9 gave no answer" in text
         assert "cq-1 counts since" in text
         assert report["coverage"]["3d"] < 0.5
@@ -241,11 +241,11 @@
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
         client.addresses = [DEAD, *client.addresses]
         client.at = DEAD
-        await client.begin()
+        await client.select_address()
         assert [item["instance"] for item in await client.instances()] == ["cq-1"]
         client.addresses = [DEAD]
-        with pytest.raises(exceptions.NothingAnswers, match=DEAD):
-            await client.begin()
+        with pytest.raises(exceptions.NoResponse, match=DEAD):
+            await client.select_address()
 
     _run(test)
 
@@ -267,8 +267,8 @@
         )
 
     before, now = {"a": body("one", 5)}, {"a": body("one", 9)}
-    assert top.rates(before, now, 2.0)["completed"] == 2.0
-    assert top.rates(before, {"a": body("two", 9)}, 2.0)["completed"] == 0.0
+    assert top.outcome_rates(before, now, 2.0)["completed"] == 2.0
+    assert top.outcome_rates(before, {"a": body("two", 9)}, 2.0)["completed"] == 0.0
 
 
 def test_says_when_the_address_is_not_the_operators() -> None:
@@ -281,7 +281,9 @@
         await served.start()
         try:
             async with aiohttp.ClientSession() as http:
-                with pytest.raises(exceptions.NotOperators, match="callers' address"):
+                with pytest.raises(
+                    exceptions.NotOperatorsAddress, match="callers' address"
+                ):
                     await clients.Client(served.address, http).instances()
         finally:
             await served.stop()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -53,7 +53,7 @@
     found = trace.trace("c2", lines)
     assert "no slot in time in chat#0 for rank 3, given up by cq-2" in found.cause
     assert [line.fields["server"] for line in found.circumstances] == ["i-7"]
-    shown = trace.text_of(found)
+    shown = trace.format_text(found)
     assert "learned there shortly before" in shown
     assert "-1900.0" in shown
 
