--- a/packages/cli/cassiaquay_cli/burn.py
+++ b/packages/cli/cassiaquay_cli/burn.py
@@ -8,7 +8,7 @@
 
 
 def format_text(report: burn_sums.Report) -> str:
-    """Return the report for a terminal."""
+    """Format the report as text."""
     rows = []
     for item in report["objectives"]:
         rates = [burn_page.format_rate(window["rate"]) for window in item["windows"]]
@@ -42,10 +42,10 @@
 
 @commands.commands.register("burn")
 def burn(at: str = "", html: str = "", json: bool = False) -> outputs.Shown:
-    """Show how fast error budgets burn, what is left, and who burns them.
+    """Show burn rates, remaining error budgets and the largest burners.
 
     Exits 7 when an objective burns too fast or its budget is spent, 6 when instances
-    gave no answer.
+    did not respond.
 
     Parameters
     ----------
--- a/packages/cli/cassiaquay_cli/check.py
+++ b/packages/cli/cassiaquay_cli/check.py
@@ -20,7 +20,7 @@
 
 @commands.commands.register("check")
 def check(file: str, json: bool = False) -> outputs.Shown:
-    """Check a fleet text whole, without a fleet; exits 2 when it is refused.
+    """Validate a fleet text without a running fleet; exits 2 when it is refused.
 
     Parameters
     ----------
--- a/packages/cli/cassiaquay_cli/clients.py
+++ b/packages/cli/cassiaquay_cli/clients.py
@@ -57,7 +57,7 @@
         self.addresses = [part.strip() for part in text.split(",") if part.strip()]
         if not self.addresses:
             raise exceptions.AddressMissing(
-                "say where to begin: --at=HOST:PORT or the environment variable"
+                "no address given: set --at=HOST:PORT or the environment variable"
                 f" {ADDRESS_VARIABLE}; it is `admin=` in a daemon's log line `ready`"
             )
         self.at = self.addresses[0]
@@ -90,7 +90,7 @@
             return msgspec.json.decode(body, type=body_type)
         except msgspec.DecodeError as error:
             raise exceptions.NotOperatorsAddress(
-                f"{at or self.at} answers {path} with something else: {error}"
+                f"unexpected response body for {path} from {at or self.at}: {error}"
             ) from error
 
     async def post(self, path: str, at: str) -> None:
@@ -142,7 +142,7 @@
             raise exceptions.NoResponse(
                 f"no daemon answers at {at} ({_describe(error)}); is it up, and is this"
                 " its `admin=` address rather than `http=` or `peer=`? Any other"
-                " instance of the fleet does as well"
+                " instance of the fleet can be used as well"
             ) from error
 
 
@@ -166,7 +166,7 @@
         )
     if not code:
         raise exceptions.NotOperatorsAddress(
-            f"something answers at {at}, but does not know {path} (status {status});"
+            f"the server at {at} has no path {path} (status {status});"
             " is it the callers' address? The operators' is `admin=` in the log line"
             " `ready`"
         )
--- a/packages/cli/cassiaquay_cli/diff.py
+++ b/packages/cli/cassiaquay_cli/diff.py
@@ -5,7 +5,7 @@
 
 @commands.commands.register("diff")
 def diff(old: str, new: str, json: bool = False) -> outputs.Shown:
-    """Show what a new fleet text would change, place by place.
+    """Show the values that differ between two fleet texts.
 
     Parameters
     ----------
--- a/packages/cli/cassiaquay_cli/drain.py
+++ b/packages/cli/cassiaquay_cli/drain.py
@@ -29,7 +29,7 @@
     if not others and not force:
         raise exceptions.LastInstance(
             f"{name} is the last instance that serves: callers would have no address;"
-            " --force drains it all the same"
+            " use --force to drain it nevertheless"
         )
     return named[0]
 
@@ -44,8 +44,8 @@
             return
         if asyncio.get_running_loop().time() > end:
             raise exceptions.DrainTimeout(
-                f"it still works on open requests after {timeout:g} s; it ends when"
-                " they have: `cassiaquay status` shows how many"
+                f"the instance still has open requests after {timeout:g} s and exits"
+                " when they have ended; `cassiaquay status` shows how many"
             )
         await asyncio.sleep(POLL_SECONDS)
 
@@ -64,13 +64,13 @@
     Parameters
     ----------
     instance : str
-        Its name.
+        Name of the instance.
     at : str
         Operators' address of any instance; CASSIAQUAY_ADMIN otherwise.
     wait : bool
-        Return only when it has gone; --nowait returns at once.
+        Return only after it has shut down; --nowait returns at once.
     timeout : float
-        Longest wait, seconds.
+        Longest wait in seconds.
     force : bool
         Drain also the last instance that serves.
     json : bool
@@ -82,7 +82,7 @@
         await client.post("/v1/drain", chosen["admin"])
         if wait:
             await wait_until_gone(client, chosen["admin"], timeout)
-        text = f"{instance} has gone" if wait else f"{instance} leaves"
+        text = f"{instance} has gone" if wait else f"{instance} is draining"
         return outputs.Output(text, {"instance": instance, "gone": wait})
 
     return outputs.show(commands.run(at, work), json)
--- a/packages/cli/cassiaquay_cli/history.py
+++ b/packages/cli/cassiaquay_cli/history.py
@@ -66,7 +66,7 @@
         instances = await client.instances()
         found = await client.collect("/v1/history", list[bodies.Event], instances)
         lines = merge(found, limit, alarms)
-        texts = [format_text(line) for line in lines] or ["nothing has happened"]
+        texts = [format_text(line) for line in lines] or ["no events"]
         texts += clients.missing_lines(found.missing)
         data = {
             "events": [{"instance": i, **event} for i, event in lines],
--- a/packages/cli/cassiaquay_cli/status.py
+++ b/packages/cli/cassiaquay_cli/status.py
@@ -164,8 +164,8 @@
 def status(at: str = "", json: bool = False) -> outputs.Shown:
     """Show instances, configuration, backend servers and queues of a fleet.
 
-    A team sees the instances and its own queue. Exits 6 when some instances gave no
-    answer.
+    A team sees the instances and its own queue. Exits 6 when some instances did not
+    respond.
 
     Parameters
     ----------
--- a/packages/cli/cassiaquay_cli/trace.py
+++ b/packages/cli/cassiaquay_cli/trace.py
@@ -54,7 +54,7 @@
 @causes.register("limit_reached")
 def _limit_reached(request_lines: Lines) -> str:
     wait = request_lines[-1].fields.get("retry_after_ms", "?")
-    return f"its team was over its limit; nothing was sent; back in {wait} ms"
+    return f"its team was over its limit; nothing was sent; retry after {wait} ms"
 
 
 @causes.register("shed_overload")
@@ -86,7 +86,7 @@
 def _deadline(request_lines: Lines) -> str:
     sent = _last_line(request_lines, "dispatch")
     server = sent.fields.get("server") if sent is not None else "no server"
-    return f"{server} had it and gave no whole answer before the deadline"
+    return f"dispatched to {server}; no complete response before the deadline"
 
 
 @causes.register("deadline_infeasible")
@@ -182,7 +182,7 @@
         return causes.get(code)(request_lines)
     if end.fields.get("outcome") == "completed":
         return f"{end.fields.get('server')} answered it; nothing went wrong here"
-    return f"it ended with {code or end.event}; docs/ERRORS.md tells of this code"
+    return f"it ended with {code or end.event}; see docs/ERRORS.md for this code"
 
 
 def _rows(found: Traced, start_at: float) -> list[list[str]]:
--- a/tests/operators_fakes.py
+++ b/tests/operators_fakes.py
@@ -1,4 +1,4 @@
-"""One daemon's parts without its processes, for tests of what operators see."""
+"""One daemon's components without a process, to test the operators' interface."""
 
 import asyncio
 import hashlib
@@ -29,7 +29,7 @@
 KEY = "key"
 
 
-def settings(**more: typing.Any) -> settings_schema.Settings:
+def settings(**overrides: typing.Any) -> settings_schema.Settings:
     """Return the settings of one daemon."""
     return msgspec.convert(
         {
@@ -37,26 +37,26 @@
             "domain": "derby",
             "keys": [KEY],
             "platform": {"configuration": "127.0.0.1:1", "instances": "127.0.0.1:1"},
-            **more,
+            **overrides,
         },
         settings_schema.Settings,
     )
 
 
 class Reply(typing.NamedTuple):
-    """An answer of the operators' address."""
+    """A response of the operators' address."""
 
     status: int
     body: bytes
 
     @property
     def json(self) -> typing.Any:
-        """The body, decoded."""
+        """The decoded body."""
         return msgspec.json.decode(self.body)
 
 
 class Instance:
-    """One daemon's parts, with its operators' application called in process."""
+    """Components of one daemon; its operators' application is called in process."""
 
     def __init__(self, chosen: settings_schema.Settings, http: aiohttp.ClientSession):
         self.settings = chosen
@@ -97,7 +97,7 @@
         self.drained = True
 
     def entry(self, team: str, tier: str = "urgent", unique: str = "a") -> owner.Entry:
-        """Return a waiting entry of the model service, in the owner's table."""
+        """Add a waiting entry of the model service to the owner's table; return it."""
         token = tokens.mint(KEY, "cq-1", "abcdefabcdef", 60.0)
         request_id = tokens.parse([KEY], f"{token}~{unique}")
         body = {"service": DEPLOYMENT.model_service, "tier": tier, "prompt": "why"}
@@ -153,21 +153,21 @@
 
 
 def run(
-    test: typing.Callable[[Instance], typing.Awaitable[None]], **more: typing.Any
+    test: typing.Callable[[Instance], typing.Awaitable[None]], **overrides: typing.Any
 ) -> None:
-    """Run a test with one instance."""
+    """Run a test with one instance, in an event loop of its own."""
 
-    async def inside() -> None:
+    async def run_with_instance() -> None:
         async with aiohttp.ClientSession() as http:
-            instance = Instance(settings(**more), http)
+            instance = Instance(settings(**overrides), http)
             try:
                 await test(instance)
             finally:
                 logging.getLogger("cassiaquay").removeHandler(instance.reports.history)
 
-    asyncio.run(inside())
+    asyncio.run(run_with_instance())
 
 
 def digest(credential: str) -> str:
-    """Return what settings hold of a credential."""
+    """Return the digest of a credential, as in settings."""
     return hashlib.sha256(credential.encode()).hexdigest()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: who sees what, and what it tells."""
+"""The operators' address: access by operators and teams, and contents of the calls."""
 
 import logging
 
@@ -12,7 +12,7 @@
 TEAMS = fakes.DEPLOYMENT.teams
 LARGE, SMALL = TEAMS[0], TEAMS[1]
 OPERATORS = [fakes.digest(fakes.OPERATOR)]
-PAGES = [
+ALL_PATHS = [
     "/v1/status",
     "/v1/instances",
     "/v1/servers",
@@ -23,7 +23,7 @@
     "/v1/burn",
     "/metrics",
 ]
-OPERATORS_ONLY = [
+OPERATOR_ONLY_PATHS = [
     "/v1/status",
     "/v1/servers",
     "/v1/keepers",
@@ -39,22 +39,22 @@
     )
 
 
-class _Replier:
+class _FakeLink:
     instance = "cq-1"
 
     def send(self, message: messages.Message) -> bool:
         return True
 
 
-def _shard(instance: fakes.Instance) -> shards.Shard:
+def _fill_queue(instance: fakes.Instance) -> shards.Shard:
     for number, team in enumerate([LARGE, LARGE, SMALL]):
         demand = _demand(f"id-{number}", team.name, 0 if number else 3)
-        instance.kept.demand(_Replier(), demand)
+        instance.kept.demand(_FakeLink(), demand)
     return instance.kept.shards["engines#0"]
 
 
-@pytest.mark.parametrize("path", PAGES)
-def test_an_operator_sees_every_page(path: str) -> None:
+@pytest.mark.parametrize("path", ALL_PATHS)
+def test_operator_can_read_every_call(path: str) -> None:
     async def test(instance: fakes.Instance) -> None:
         reply = await instance.call(path, fakes.OPERATOR, client="10.0.0.9")
         assert reply.status == 200
@@ -63,8 +63,8 @@
     fakes.run(test, operators=OPERATORS)
 
 
-@pytest.mark.parametrize("path", PAGES)
-def test_nobody_unknown_sees_a_page(path: str) -> None:
+@pytest.mark.parametrize("path", ALL_PATHS)
+def test_unknown_credential_is_refused_by_every_call(path: str) -> None:
     async def test(instance: fakes.Instance) -> None:
         for credential in ("", "wrong"):
             reply = await instance.call(path, credential)
@@ -74,8 +74,8 @@
     fakes.run(test, operators=OPERATORS)
 
 
-@pytest.mark.parametrize("path", OPERATORS_ONLY)
-def test_a_team_does_not_see_what_is_the_operators(path: str) -> None:
+@pytest.mark.parametrize("path", OPERATOR_ONLY_PATHS)
+def test_team_is_refused_by_operator_only_calls(path: str) -> None:
     async def test(instance: fakes.Instance) -> None:
         reply = await instance.call(path, LARGE.credential)
         assert reply.status == 403
@@ -83,11 +83,11 @@
     fakes.run(test, operators=OPERATORS)
 
 
-def test_only_loopback_is_let_in_when_no_operator_is_named() -> None:
-    """A fresh instance without operators' digests listens on an address of its network.
+def test_only_loopback_is_allowed_without_configured_operators() -> None:
+    """Guards an instance without operators' digests that listens on a network address.
 
-    A neighbour on that network asks for its status and orders a drain; both are
-    refused. Only a process on the same machine is taken for an operator.
+    Calls from another host for its status and a drain are refused. Only a process on
+    the same host counts as an operator.
     """
 
     async def test(instance: fakes.Instance) -> None:
@@ -100,11 +100,11 @@
     fakes.run(test)
 
 
-def test_a_page_in_a_browser_on_the_machine_is_no_operator() -> None:
-    """Somebody with a browser on the instance's machine opens a hostile page.
+def test_browser_page_on_loopback_is_refused() -> None:
+    """Guards against a hostile page opened in a browser on the instance's host.
 
-    The page sends POST /v1/drain to the loopback address. The browser names the page
-    as the origin, so the call is refused although it comes from this machine.
+    The page sends POST /v1/drain to the loopback address. The browser adds an Origin
+    header, so the call is refused although it comes from the same host.
     """
 
     async def test(instance: fakes.Instance) -> None:
@@ -117,7 +117,7 @@
     fakes.run(test)
 
 
-def test_loopback_is_not_enough_once_operators_are_named() -> None:
+def test_loopback_needs_a_credential_once_operators_are_configured() -> None:
     async def test(instance: fakes.Instance) -> None:
         assert (await instance.call("/v1/drain", method="POST")).status == 401
         reply = await instance.call("/v1/drain", LARGE.credential, method="POST")
@@ -139,7 +139,7 @@
     fakes.run(test, operators=OPERATORS)
 
 
-def test_health_is_503_before_there_is_a_configuration() -> None:
+def test_health_is_503_without_a_configuration() -> None:
     async def test(instance: fakes.Instance) -> None:
         instance.configured.current = None
         reply = await instance.call("/v1/health")
@@ -149,9 +149,9 @@
     fakes.run(test)
 
 
-def test_a_team_sees_its_own_queue_only() -> None:
+def test_team_sees_only_its_own_queue() -> None:
     async def test(instance: fakes.Instance) -> None:
-        _shard(instance)
+        _fill_queue(instance)
         everything = (await instance.call("/v1/queues", fakes.OPERATOR)).json
         own = (await instance.call("/v1/queues", SMALL.credential)).json
         found = [(g["tier"], g["team"], g["waiting"]) for g in everything["waiting"]]
@@ -166,7 +166,7 @@
     fakes.run(test, operators=OPERATORS)
 
 
-def test_a_team_sees_its_own_refusals_only() -> None:
+def test_team_sees_only_its_own_refusals() -> None:
     async def test(instance: fakes.Instance) -> None:
         for number, team in enumerate([LARGE, SMALL]):
             entry = instance.entry(team.name, unique=f"u{number}")
@@ -184,7 +184,7 @@
     fakes.run(test, operators=OPERATORS)
 
 
-def test_history_keeps_alarms_and_counts_them(caplog: pytest.LogCaptureFixture) -> None:
+def test_history_retains_and_counts_alarms(caplog: pytest.LogCaptureFixture) -> None:
     async def test(instance: fakes.Instance) -> None:
         logging.getLogger("cassiaquay").setLevel(logging.INFO)
         logs.trouble("peer_not_reading", peer="cq-2")
@@ -198,7 +198,7 @@
     fakes.run(test)
 
 
-def test_an_event_that_json_cannot_carry_is_shown_as_text() -> None:
+def test_event_fields_that_json_cannot_encode_are_shown_as_text() -> None:
     async def test(instance: fakes.Instance) -> None:
         logging.getLogger("cassiaquay").setLevel(logging.INFO)
         logs.event("odd", cause=ValueError("no"), parts={"a"}, member=object())
@@ -222,7 +222,7 @@
 
 def test_explains_a_described_request() -> None:
     async def test(instance: fakes.Instance) -> None:
-        shard = _shard(instance)
+        shard = _fill_queue(instance)
         shard.gone.add("tutor-1")
         path = f"/v1/explain?service=tutor-assist&team={SMALL.name}&tier=standard"
         found = (await instance.call(path)).json
@@ -240,11 +240,11 @@
     fakes.run(test)
 
 
-def test_servers_are_shown_before_their_keeper_had_a_demand() -> None:
-    """A fresh fleet has had no request yet; its operator looks before opening it.
+def test_servers_are_shown_before_the_first_demand() -> None:
+    """An operator inspects a new fleet before its first request.
 
-    Keepers begin a shard with its first demand. The backend servers are shown and
-    explained all the same, and looking does not begin the shard.
+    Keepers create a shard at its first demand. The backend servers are shown and
+    explained before that, and reading them does not create the shard.
     """
 
     async def test(instance: fakes.Instance) -> None:
@@ -259,15 +259,15 @@
     fakes.run(test)
 
 
-def test_a_long_answer_is_whole_later_than_a_short_one() -> None:
-    """An operator asks through an instance that is not the keeper.
+def test_placement_of_a_long_answer_finishes_later_than_a_short_one() -> None:
+    """Guards against losing `output_tokens` in the call to the keeper.
 
-    The question travels to the keeper. When the size of the answer was lost on the way,
-    each engine seemed to have it whole at once.
+    An instance that is not the keeper fetches the placement from the keeper. Without
+    the size of the answer, every engine appeared to complete it at once.
     """
 
     async def test(instance: fakes.Instance) -> None:
-        _shard(instance)
+        _fill_queue(instance)
         path = "/v1/placement?shard=engines%230&prompt_tokens=10&output_tokens="
         times = []
         for tokens in (1, 1000):
@@ -278,7 +278,7 @@
     fakes.run(test)
 
 
-def test_explains_a_request_by_its_id_to_its_team_only() -> None:
+def test_explains_a_request_by_id_only_to_its_team() -> None:
     async def test(instance: fakes.Instance) -> None:
         entry = instance.entry(LARGE.name)
         instance.owned._refuse(entry, exceptions.Infeasible())
@@ -291,7 +291,7 @@
     fakes.run(test, operators=OPERATORS)
 
 
-def test_explain_says_why_it_cannot() -> None:
+def test_explain_refuses_invalid_queries_with_a_message() -> None:
     async def test(instance: fakes.Instance) -> None:
         for query, status in (
             ("id=nonsense", 400),
@@ -305,7 +305,7 @@
     fakes.run(test)
 
 
-def test_configuration_shows_what_was_refused_and_what_is_on_its_way() -> None:
+def test_configuration_shows_rejected_and_pending_revisions() -> None:
     async def test(instance: fakes.Instance) -> None:
         instance.configured.accept(2, "tiers = 1")
         instance.membership.learn(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' commands against instances that answer, do not, or answer wrongly."""
+"""Operators' commands with instances that respond, do not, or respond wrongly."""
 
 import asyncio
 import json
@@ -34,10 +34,10 @@
 from cassiaquay_schema import bodies
 
 Test = typing.Callable[[fakes.Instance, clients.Client], typing.Awaitable[None]]
-DEAD = "127.0.0.1:9"
+DEAD_ADDRESS = "127.0.0.1:9"
 
 
-class _Served:
+class _FakeServer:
     def __init__(self, application: applications.Starlette):
         self.app = application
 
@@ -48,9 +48,9 @@
         """Do nothing."""
 
 
-def _run(test: Test, credential: str = "", **more: typing.Any) -> None:
+def _run_with_client(test: Test, credential: str = "", **more: typing.Any) -> None:
     async def inside(instance: fakes.Instance) -> None:
-        served = serving.Served(_Served(instance.application))
+        served = serving.Served(_FakeServer(instance.application))
         await served.start()
         instance.membership.admin_address = served.address
         try:
@@ -74,7 +74,7 @@
     )
 
 
-def test_status_shows_what_instances_say_and_which_are_silent() -> None:
+def test_status_shows_serving_and_silent_instances() -> None:
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
         instance.membership.listed["cq-9"] = platform.Listed(
             "cq-9", "derby", "entry", "h:1", "p:1", False
@@ -96,10 +96,10 @@
             "engines#0 sheds tier standard and holds lower ones back"
         ]
 
-    _run(test)
+    _run_with_client(test)
 
 
-def test_history_merges_and_names_what_was_refused() -> None:
+def test_history_merges_events_and_shows_refusals() -> None:
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
         entry = instance.entry("feedback")
         refusal = daemon_exceptions.Shed("engines are full")
@@ -111,7 +111,7 @@
         assert "message=engines are full" in history.format_text(lines[-1])
         assert not history.merge(found, 50, True)
 
-    _run(test)
+    _run_with_client(test)
 
 
 def test_explain_prints_tier_keeper_and_server() -> None:
@@ -123,10 +123,10 @@
         assert "kept by cq-1" in text
         assert "backend server: tutor-1" in text
 
-    _run(test)
+    _run_with_client(test)
 
 
-def test_drain_spares_the_last_instance() -> None:
+def test_drain_refuses_the_last_instance_without_force() -> None:
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
         instances = await client.instances()
         with pytest.raises(exceptions.LastInstance):
@@ -138,12 +138,12 @@
         assert instance.drained
         with pytest.raises(exceptions.DrainTimeout):
             await drain.wait_until_gone(client, client.at, 0.1)
-        await drain.wait_until_gone(client, DEAD, 5.0)
+        await drain.wait_until_gone(client, DEAD_ADDRESS, 5.0)
 
-    _run(test)
+    _run_with_client(test)
 
 
-def test_a_team_reads_its_own_and_no_more() -> None:
+def test_team_credential_reads_only_its_own_data() -> None:
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
         instances = await client.instances()
         found = await client.collect("/v1/history", list[bodies.Event], instances)
@@ -155,7 +155,7 @@
         assert "nothing waits" in output.text
 
     credential = fakes.DEPLOYMENT.teams[0].credential
-    _run(test, credential, operators=[fakes.digest(fakes.OPERATOR)])
+    _run_with_client(test, credential, operators=[fakes.digest(fakes.OPERATOR)])
 
 
 async def _burn_report(client: clients.Client) -> burn_sums.Report:
@@ -164,7 +164,7 @@
     return burn_sums.report(found)
 
 
-def test_burn_adds_up_and_says_what_is_missing(tmp_path: pathlib.Path) -> None:
+def test_burn_sums_counts_and_lists_missing_instances(tmp_path: pathlib.Path) -> None:
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
         instance.membership.listed["cq-9"] = platform.Listed(
             "cq-9", "derby", "entry", "h:1", "p:1", False
@@ -193,10 +193,10 @@
         assert "cq-9 gave no answer" in page
         assert "http://" not in page.replace("http://www.w3.org", "")
 
-    _run(test)
+    _run_with_client(test)
 
 
-def _answer(
+def _burn_body(
     instance: str, total: int, good: int, counted: float = 259200.0
 ) -> bodies.Burn:
     objective = bodies.Objective(service="s", tier="t", share=0.9, within_ms=1000)
@@ -224,8 +224,8 @@
     )
 
 
-def test_rates_and_budget_are_of_the_sum() -> None:
-    answers = {"a": _answer("a", 90, 90), "b": _answer("b", 10, 5, 3600.0)}
+def test_burn_rates_and_budget_are_computed_from_summed_counts() -> None:
+    answers = {"a": _burn_body("a", 90, 90), "b": _burn_body("b", 10, 5, 3600.0)}
     missing = [clients.Missing("c", "gone"), clients.Missing("d", "gone")]
     report = burn_sums.report(clients.Collected(answers, missing))
     found = report["objectives"][0]
@@ -237,20 +237,20 @@
     assert report["coverage"]["3d"] == pytest.approx((1 + 3600 / 259200) / 4)
 
 
-def test_begins_with_the_first_address_that_answers() -> None:
+def test_client_selects_the_first_address_that_responds() -> None:
     async def test(instance: fakes.Instance, client: clients.Client) -> None:
-        client.addresses = [DEAD, *client.addresses]
-        client.at = DEAD
+        client.addresses = [DEAD_ADDRESS, *client.addresses]
+        client.at = DEAD_ADDRESS
         await client.select_address()
         assert [item["instance"] for item in await client.instances()] == ["cq-1"]
-        client.addresses = [DEAD]
-        with pytest.raises(exceptions.NoResponse, match=DEAD):
+        client.addresses = [DEAD_ADDRESS]
+        with pytest.raises(exceptions.NoResponse, match=DEAD_ADDRESS):
             await client.select_address()
 
-    _run(test)
+    _run_with_client(test)
 
 
-def test_top_knows_no_rate_of_a_new_life() -> None:
+def test_top_shows_no_rate_after_an_instance_restarts() -> None:
     def body(incarnation: str, completed: int) -> bodies.Status:
         return bodies.Status(
             instance="a",
@@ -271,13 +271,13 @@
     assert top.outcome_rates(before, {"a": body("two", 9)}, 2.0)["completed"] == 0.0
 
 
-def test_says_when_the_address_is_not_the_operators() -> None:
+def test_reports_an_address_that_is_not_the_operators() -> None:
     async def inside() -> None:
         async def page(request: object) -> responses.Response:
             return responses.PlainTextResponse("not here", 404)
 
         other = applications.Starlette(routes=[routing.Route("/{path:path}", page)])
-        served = serving.Served(_Served(other))
+        served = serving.Served(_FakeServer(other))
         await served.start()
         try:
             async with aiohttp.ClientSession() as http:
@@ -303,13 +303,13 @@
     assert refused.returncode == 2
     assert "text_duplicate: tiers.interactive.rank" in refused.stderr
     assert _cli("check", str(tmp_path / "none.toml")).returncode == 3
-    silent = _cli("status", f"--at={DEAD}")
-    assert silent.returncode == 4
-    assert "no daemon answers" in silent.stderr
-    assert len(silent.stderr.splitlines()) == 1
-    nowhere = _cli("burn")
-    assert nowhere.returncode == 4
-    assert "CASSIAQUAY_ADMIN" in nowhere.stderr
+    no_daemon = _cli("status", f"--at={DEAD_ADDRESS}")
+    assert no_daemon.returncode == 4
+    assert "no daemon answers" in no_daemon.stderr
+    assert len(no_daemon.stderr.splitlines()) == 1
+    without_address = _cli("burn")
+    assert without_address.returncode == 4
+    assert "CASSIAQUAY_ADMIN" in without_address.stderr
 
 
 def test_every_command_is_documented() -> None:
--- a/tests/test_engine_reports.py
+++ b/tests/test_engine_reports.py
@@ -1,4 +1,4 @@
-"""Late cache events with gaps, stale load reports."""
+"""Engine reports: late or missing cache events, and stale load reports."""
 
 import asyncio
 
@@ -13,23 +13,23 @@
 PROMPT = "measure " * 800
 
 
-class Reader:
-    """An engine's reports as a test sets them."""
+class FakeReader:
+    """Fake reader that returns the reports set by a test."""
 
     def __init__(self) -> None:
         self.requests = 0
-        self.answer = engine_reports.CacheEvents(0, [])
-        self.asked: list[int] = []
-        self.silent = False
+        self.cache_events = engine_reports.CacheEvents(0, [])
+        self.requested_sequences: list[int] = []
+        self.is_silent = False
 
     async def load(self, server) -> engine_reports.LoadReport:
-        if self.silent:
+        if self.is_silent:
             raise exceptions.BackendError("silent")
         return engine_reports.LoadReport(200.0, self.requests, 0)
 
     async def events(self, server, after) -> engine_reports.CacheEvents:
-        self.asked.append(after)
-        return self.answer
+        self.requested_sequences.append(after)
+        return self.cache_events
 
 
 @pytest.fixture(name="time")
@@ -50,51 +50,51 @@
     return engine_reports.CacheEvent(sequence, kind, blocks)
 
 
-def test_events_tell_a_new_keeper_where_a_prefix_is(time) -> None:
-    """The keeper is new and granted nothing yet; an engine has the session cached.
+def test_cache_events_show_a_new_keeper_where_a_prefix_is_cached(time) -> None:
+    """A new keeper learns from events which engine caches a prefix.
 
-    One event of three was lost. Later the engine says that it begins anew, its
-    sequence is lower: what was cached is forgotten.
+    One event of three is lost. A later, lower sequence number means that the engine
+    restarted with an empty cache, so its cached blocks are discarded.
     """
 
-    async def work() -> None:
+    async def check() -> None:
         kept, reports = _open_keeper()
         await asyncio.sleep(0)
         shard = kept.shards[fakes.SHARD]
-        reader = Reader()
+        reader = FakeReader()
         demand = fakes.demand("one", prompt=PROMPT)
         events = [_event(1, "stored", demand.blocks), _event(3, "removed", [1])]
-        reader.answer = engine_reports.CacheEvents(3, events)
+        reader.cache_events = engine_reports.CacheEvents(3, events)
         server = shard.servers["tutor-4"]
         await reports.read_one(shard, reader, server)
         cached = {w.server: w.cached_tokens for w in _explained(kept, demand)}
         assert cached.pop("tutor-4") > 1500
         assert set(cached.values()) == {0}
-        reader.answer = engine_reports.CacheEvents(1, [])
+        reader.cache_events = engine_reports.CacheEvents(1, [])
         await reports.read_one(shard, reader, server)
         await reports.read_one(shard, reader, server)
-        assert reader.asked == [0, 3, 0]
+        assert reader.requested_sequences == [0, 3, 0]
         assert {w.cached_tokens for w in _explained(kept, demand)} == {0}
 
-    asyncio.run(work())
+    asyncio.run(check())
 
 
 def _explained(kept, demand):
     return kept.policy(fakes.SHARD).explain(demand)
 
 
-def test_work_of_a_second_keeper_is_seen_and_forgotten_with_age(time) -> None:
-    """Behind a partition another keeper fills the same engine.
+def test_load_of_a_second_keeper_counts_and_decays_without_reports(time) -> None:
+    """A second keeper behind a partition fills the same engine.
 
-    Its report shows 30 requests where this keeper has none: the engine counts as
-    full. Without a newer report that weighs less and less.
+    The report shows 40 requests where this keeper has granted none, so the engine
+    counts as full. Without a newer report the estimate decays.
     """
 
-    async def work() -> None:
+    async def check() -> None:
         kept, reports = _open_keeper()
         await asyncio.sleep(0)
         shard = kept.shards[fakes.SHARD]
-        reader = Reader()
+        reader = FakeReader()
         reader.requests = 40
         await reports.read_one(shard, reader, shard.servers["tutor-1"])
         load = shard.load("tutor-1")
@@ -102,15 +102,15 @@
         fits = {w.server: w.fits for w in _explained(kept, fakes.demand("one"))}
         assert not fits.pop("tutor-1")
         assert all(fits.values())
-        reader.silent = True
+        reader.is_silent = True
         time.now += 3.0
         await reports.read_one(shard, reader, shard.servers["tutor-1"])
         assert load.foreign(time.now) < 8
 
-    asyncio.run(work())
+    asyncio.run(check())
 
 
-def test_own_requests_are_not_taken_for_those_of_others(time) -> None:
+def test_own_requests_do_not_count_as_foreign_load(time) -> None:
     shard = fakes.shard({"a": 8})
     load = shard.load("a")
     load.count = 6
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: loads in turn, drained first, by one keeper, put right after."""
+"""Orders to engines: a rolling load after a drain, by the keeper only, with fencing."""
 
 import asyncio
 import collections.abc
@@ -68,16 +68,16 @@
         configured.accept(revision, text)
         pauses = pause.Pauses(60.0)
         kept = keeper.Keeper(settings, links, membership, configured, pauses)
-        made = reconciler.Reconciler(
+        reconciling = reconciler.Reconciler(
             settings, http, membership, configured, kept, pauses
         )
-        return made, kept, configured
+        return reconciling, kept, configured
 
-    def run(self, made: reconciler.Reconciler) -> None:
-        self.tasks.append(asyncio.create_task(made.run()))
+    def run(self, reconciling: reconciler.Reconciler) -> None:
+        self.tasks.append(asyncio.create_task(reconciling.run()))
 
     async def watch(self) -> None:
-        """Note the lowest number of engines that serve at a time."""
+        """Record the lowest number of engines that serve at the same time."""
         while True:
             ready = sum(1 for e in self.engines.values() if not e.orders.loading)
             self.lowest = min(self.lowest, ready)
@@ -88,98 +88,98 @@
 
 
 @contextlib.asynccontextmanager
-async def rig(
-    count: int, **more: typing.Any
+async def running_rig(
+    count: int, **overrides: typing.Any
 ) -> collections.abc.AsyncIterator[tuple[Rig, aiohttp.ClientSession]]:
-    made = Rig()
+    rig = Rig()
     served = []
     for number in range(count):
         settings = engine_settings.EngineSettings(
-            model="m", load_ms=60.0, adapter_load_ms=5.0, report_lag_ms=0, **more
+            model="m", load_ms=60.0, adapter_load_ms=5.0, report_lag_ms=0, **overrides
         )
         one = engine.Engine(settings)
         listening = serving.Served(one)
         await listening.start()
-        made.engines[f"e{number}"] = one
-        made.addresses[f"e{number}"] = listening.address
+        rig.engines[f"e{number}"] = one
+        rig.addresses[f"e{number}"] = listening.address
         served.append(listening)
     try:
         async with aiohttp.ClientSession() as http:
             async with asyncio.timeout(20):
-                yield made, http
-            for task in made.tasks:
+                yield rig, http
+            for task in rig.tasks:
                 task.cancel()
-            await asyncio.gather(*made.tasks, return_exceptions=True)
+            await asyncio.gather(*rig.tasks, return_exceptions=True)
     finally:
         await asyncio.gather(*(one.stop() for one in served))
 
 
-def test_a_new_version_reaches_all_engines_and_keeps_the_minimum() -> None:
-    """Callers find two of three engines at every moment while all change version."""
+def test_rolling_load_reaches_all_engines_and_keeps_serving_minimum() -> None:
+    """Two of three engines serve at any time while all change to a new version."""
 
     async def run() -> None:
-        async with rig(3) as (made, http):
-            made.tasks.append(asyncio.create_task(made.watch()))
-            one, *_ = made.instance(http, "cq-1", made.text("2", 2), 5)
-            made.run(one)
-            await light.until(lambda: made.at_version("2"), 15)
-            assert made.lowest == 2
-            fences = {o.fence for e in made.engines.values() for o in e.orders.orders}
+        async with running_rig(3) as (rig, http):
+            rig.tasks.append(asyncio.create_task(rig.watch()))
+            sender, *_ = rig.instance(http, "cq-1", rig.text("2", 2), 5)
+            rig.run(sender)
+            await light.until(lambda: rig.at_version("2"), 15)
+            assert rig.lowest == 2
+            fences = {o.fence for e in rig.engines.values() for o in e.orders.orders}
             assert fences == {5}
 
     asyncio.run(run())
 
 
-def test_where_no_engine_can_be_spared_none_is_loaded() -> None:
+def test_no_engine_is_loaded_when_all_are_needed_for_the_minimum() -> None:
     async def run() -> None:
-        async with rig(2) as (made, http):
-            one, _, configured = made.instance(http, "cq-1", made.text("2", 2), 5)
+        async with running_rig(2) as (rig, http):
+            sender, _, configured = rig.instance(http, "cq-1", rig.text("2", 2), 5)
             for _ in range(10):
                 assert configured.current is not None
-                await one.reconcile(configured.current)
+                await sender.reconcile(configured.current)
                 await asyncio.sleep(0.02)
-            assert not any(e.orders.orders for e in made.engines.values())
+            assert not any(e.orders.orders for e in rig.engines.values())
 
     asyncio.run(run())
 
 
 def test_adapters_and_roles_are_ordered_after_the_model() -> None:
     async def run() -> None:
-        async with rig(1, role="other") as (made, http):
-            text = made.text("2", 0, 'law = "1"')
-            one, *_ = made.instance(http, "cq-1", text, 5)
-            made.run(one)
-            told = made.engines["e0"].orders
-            await light.until(lambda: told.role == "general", 15)
-            assert told.adapters == ["law"]
-            kinds = [order.kind for order in told.orders]
+        async with running_rig(1, role="other") as (rig, http):
+            text = rig.text("2", 0, 'law = "1"')
+            sender, *_ = rig.instance(http, "cq-1", text, 5)
+            rig.run(sender)
+            received = rig.engines["e0"].orders
+            await light.until(lambda: received.role == "general", 15)
+            assert received.adapters == ["law"]
+            kinds = [order.kind for order in received.orders]
             assert kinds == ["load_model", "load_adapter", "set_role"]
 
     asyncio.run(run())
 
 
-def test_an_engine_is_drained_before_it_loads() -> None:
-    """A request that runs on an engine is not cut off by the load of a new version.
+def test_engine_is_drained_before_load() -> None:
+    """Guards against loading a new version while a request runs on the engine.
 
-    The keeper gives the engine no new work, waits until the request is released, and
-    only then sends the order.
+    The keeper stops admitting work to the engine, waits until the request is released
+    and only then sends the order.
     """
 
     async def run() -> None:
-        async with rig(1) as (made, http):
-            text = made.text("2", 0)
-            one, kept, _ = made.instance(http, "cq-1", text, 5)
+        async with running_rig(1) as (rig, http):
+            text = rig.text("2", 0)
+            sender, kept, _ = rig.instance(http, "cq-1", text, 5)
             shard = kept._shard("p#0")
             assert shard is not None
             shard.renew("cq-2", [_outstanding("x", "e0")])
-            made.run(one)
+            rig.run(sender)
             await light.until(lambda: "e0" in kept.draining, 10)
             await asyncio.sleep(0.2)
-            assert made.engines["e0"].orders.orders == []
+            assert rig.engines["e0"].orders.orders == []
             kept._refresh()
             assert shard.gone == {"e0"}
             shard.drop("x")
-            await light.until(lambda: made.at_version("2"), 10)
+            await light.until(lambda: rig.at_version("2"), 10)
             await light.until(lambda: "e0" not in kept.draining, 10)
 
     asyncio.run(run())
@@ -189,54 +189,55 @@
     return shards.messages.Outstanding(name, "s", "a", 0, server, 10, 10)
 
 
-def test_an_engine_that_ignores_the_number_is_put_right() -> None:
-    """A paused keeper's old order reaches an engine that obeys whoever comes last.
+def test_engine_that_ignores_fences_is_corrected_after_an_old_order() -> None:
+    """A keeper that was paused sends an old order to an engine that ignores fences.
 
-    The engine goes back to version 1. The keeper of now reads that and orders anew.
+    The engine goes back to version 1. The current keeper detects this at its next
+    reading and sends its order again.
     """
 
     async def run() -> None:
-        async with rig(1, refuse_old_fence=False) as (made, http):
-            new, *_ = made.instance(http, "cq-1", made.text("2", 0), 6)
-            made.run(new)
-            await light.until(lambda: made.at_version("2"), 10)
-            old, *_ = made.instance(http, "cq-1", made.text("1", 0), 5)
+        async with running_rig(1, refuse_old_fence=False) as (rig, http):
+            new, *_ = rig.instance(http, "cq-1", rig.text("2", 0), 6)
+            rig.run(new)
+            await light.until(lambda: rig.at_version("2"), 10)
+            old, *_ = rig.instance(http, "cq-1", rig.text("1", 0), 5)
             old_task = asyncio.create_task(old.run())
-            await light.until(lambda: made.at_version("1"), 10)
+            await light.until(lambda: rig.at_version("1"), 10)
             old_task.cancel()
-            await light.until(lambda: made.at_version("2"), 15)
+            await light.until(lambda: rig.at_version("2"), 15)
 
     asyncio.run(run())
 
 
-def test_an_engine_that_checks_the_number_refuses_an_old_keeper() -> None:
+def test_engine_that_checks_fences_refuses_an_old_keeper() -> None:
     async def run() -> None:
-        async with rig(1) as (made, http):
-            new, *_ = made.instance(http, "cq-1", made.text("2", 0), 6)
-            made.run(new)
-            await light.until(lambda: made.at_version("2"), 10)
-            old, _, configured = made.instance(http, "cq-1", made.text("1", 0), 5)
+        async with running_rig(1) as (rig, http):
+            new, *_ = rig.instance(http, "cq-1", rig.text("2", 0), 6)
+            rig.run(new)
+            await light.until(lambda: rig.at_version("2"), 10)
+            old, _, configured = rig.instance(http, "cq-1", rig.text("1", 0), 5)
             for _ in range(12):
                 assert configured.current is not None
                 await old.reconcile(configured.current)
                 await asyncio.sleep(0.02)
-            assert made.at_version("2")
-            assert {o.fence for o in made.engines["e0"].orders.orders} == {6}
+            assert rig.at_version("2")
+            assert {o.fence for o in rig.engines["e0"].orders.orders} == {6}
 
     asyncio.run(run())
 
 
-def test_nobody_but_the_keeper_orders() -> None:
-    """An instance that loses a shard between reading and ordering sends nothing."""
+def test_only_the_keeper_sends_orders() -> None:
+    """An instance that is not the keeper of the shard sends no order."""
 
     async def run() -> None:
-        async with rig(1) as (made, http):
-            one, _, configured = made.instance(http, "cq-1", made.text("2", 0), 5)
-            made.keepers["p#0"] = "cq-2"
+        async with running_rig(1) as (rig, http):
+            sender, _, configured = rig.instance(http, "cq-1", rig.text("2", 0), 5)
+            rig.keepers["p#0"] = "cq-2"
             for _ in range(5):
                 assert configured.current is not None
-                await one.reconcile(configured.current)
-            assert made.engines["e0"].orders.orders == []
+                await sender.reconcile(configured.current)
+            assert rig.engines["e0"].orders.orders == []
 
     asyncio.run(run())
 
@@ -253,11 +254,11 @@
 
 
 @hypothesis.given(ENGINES, strategies.integers(0, 5), strategies.integers(1, 4))
-def test_loads_never_go_below_the_minimum_nor_above_the_rate(
-    made: list[tuple[str, bool, bool]], minimum: int, at_once: int
+def test_loads_keep_serving_minimum_and_concurrency_limit(
+    states: list[tuple[str, bool, bool]], minimum: int, at_once: int
 ) -> None:
     engines = []
-    for index, (version, ordered, silent) in enumerate(made):
+    for index, (version, ordered, silent) in enumerate(states):
         actual = None if silent else ACTUAL._replace(version=version)
         engines.append(orders.Engine(f"e{index}", WANTED, actual, ordered))
     names = orders.may_load(engines, minimum, at_once)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages say what the code says: codes, alarms, tests, capacity."""
+"""The pages under docs agree with the code: error codes, alarms, calls, named tests."""
 
 import ast
 import importlib
@@ -28,19 +28,19 @@
     "The caller package": caller_exceptions.CassiaquayError,
 }
 # Modules that need the development requirements.
-DEVELOPMENT = {"generate", "page"}
+DEVELOPMENT_MODULES = {"generate", "page"}
 
 
-def _load(package: types.ModuleType) -> None:
+def _import_modules(package: types.ModuleType) -> None:
     for found in pkgutil.iter_modules(package.__path__):
-        if found.name not in DEVELOPMENT:
+        if found.name not in DEVELOPMENT_MODULES:
             importlib.import_module(f"{package.__name__}.{found.name}")
 
 
-def _kinds(root: type[Exception]) -> list[type[Exception]]:
+def _exception_classes(root: type[Exception]) -> list[type[Exception]]:
     found = [root]
     for kind in root.__subclasses__():
-        found += _kinds(kind)
+        found += _exception_classes(kind)
     return found
 
 
@@ -58,35 +58,35 @@
     return getattr(kind, name)
 
 
-def test_every_error_code_is_on_its_page() -> None:
+def test_every_error_code_is_documented() -> None:
     for package in (cassiaquay, cassiaquay_cli, cassiaquay_daemon, cassiaquay_schema):
-        _load(package)
+        _import_modules(package)
     page = (DOCS / "ERRORS.md").read_text()
     for title, root in TABLES.items():
-        kinds = _kinds(root)
+        kinds = _exception_classes(root)
         if root is daemon_exceptions.DaemonError:
-            told = _kinds(daemon_exceptions.Refusal)
-            told += _kinds(daemon_exceptions.AdminRefusal)
-            kinds = [kind for kind in kinds if kind not in told]
+            refusals = _exception_classes(daemon_exceptions.Refusal)
+            refusals += _exception_classes(daemon_exceptions.AdminRefusal)
+            kinds = [kind for kind in kinds if kind not in refusals]
         expected = sorted(_attribute(kind, "code") for kind in kinds)
         assert sorted(row[0] for row in _rows(page, title)) == expected, title
 
 
-def test_outcomes_statuses_and_exit_codes_are_right() -> None:
+def test_documented_outcomes_statuses_and_exit_codes_match_the_code() -> None:
     page = (DOCS / "ERRORS.md").read_text()
     expected = set()
-    for kind in _kinds(daemon_exceptions.Refusal):
+    for kind in _exception_classes(daemon_exceptions.Refusal):
         outcome = _attribute(kind, "outcome")
         status = str(int(_attribute(kind, "status")))
         expected.add((_attribute(kind, "code"), outcome, status))
     assert {tuple(row[:3]) for row in _rows(page, "What callers are told")} == expected
     expected = set()
-    for kind in _kinds(daemon_exceptions.AdminRefusal):
+    for kind in _exception_classes(daemon_exceptions.AdminRefusal):
         status = str(int(_attribute(kind, "status")))
         expected.add((_attribute(kind, "code"), status))
     assert {tuple(row[:2]) for row in _rows(page, "The operators' address")} == expected
     expected = set()
-    for kind in _kinds(cli_exceptions.CommandError):
+    for kind in _exception_classes(cli_exceptions.CommandError):
         expected.add((_attribute(kind, "code"), str(_attribute(kind, "exit_code"))))
     assert {tuple(row[:2]) for row in _rows(page, "The command line")} == expected
 
@@ -105,14 +105,14 @@
     return found
 
 
-def test_every_alarm_has_a_line_that_says_what_to_do() -> None:
+def test_every_alarm_is_documented_with_an_action() -> None:
     page = (DOCS / "OPERATIONS.md").read_text()
     rows = _rows(page, "Alarms")
     assert {row[0] for row in rows} == _alarms()
     assert all(row[-1] for row in rows)
 
 
-def test_every_call_of_the_operators_address_is_listed() -> None:
+def test_every_call_of_the_operators_address_is_documented() -> None:
     source = (
         ROOT / "packages" / "daemon" / "cassiaquay_daemon" / "operators" / "admin.py"
     ).read_text()
@@ -122,7 +122,7 @@
     assert listed == paths
 
 
-def test_named_tests_exist() -> None:
+def test_tests_named_in_promises_exist() -> None:
     page = (DOCS / "PROMISES.md").read_text()
     named = re.findall(r"`(tests/\w+\.py)::(\w+)`", page)
     assert len(named) >= 8
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Metrics and burn windows: what is counted, within which bounds."""
+"""Metrics and burn windows: which requests count, and bounds of their memory."""
 
 import pathlib
 import random
@@ -9,7 +9,7 @@
 from cassiaquay_daemon import exceptions
 from cassiaquay_daemon.operators import burn, metrics, top_counts
 
-PAGE = pathlib.Path(__file__).parents[1] / "docs" / "METRICS.md"
+METRICS_PAGE = pathlib.Path(__file__).parents[1] / "docs" / "METRICS.md"
 UNITS = ("_seconds", "_total", "_requests", "_entries", "_revision", "_revisions")
 UNITS += ("_members", "_in_flight", "_servers", "_domains")
 HOUR = 3600.0
@@ -32,8 +32,10 @@
     return {item["name"]: (item["total"], item["good"]) for item in counts}
 
 
-def test_the_page_lists_every_metric() -> None:
-    rows = re.findall(r"^\| `(\w+)` \| (\w+) \| ([^|]*) \|", PAGE.read_text(), re.M)
+def test_metrics_page_lists_every_metric() -> None:
+    rows = re.findall(
+        r"^\| `(\w+)` \| (\w+) \| ([^|]*) \|", METRICS_PAGE.read_text(), re.M
+    )
     listed = {(name, kind, labels) for name, kind, labels in rows}
     expected = set()
     for family in metrics.FAMILIES:
@@ -42,7 +44,7 @@
     assert listed == expected
 
 
-def test_names_follow_the_conventions() -> None:
+def test_metric_names_follow_prometheus_conventions() -> None:
     for family in metrics.FAMILIES:
         assert family.name.startswith("cassiaquay_")
         assert family.name.endswith(UNITS)
@@ -50,7 +52,7 @@
         assert "team" not in family.labels or family is metrics.TEAM_REQUESTS
 
 
-def test_an_ended_request_is_on_the_page() -> None:
+def test_ended_request_is_counted_on_the_metrics_page() -> None:
     async def test(instance: fakes.Instance) -> None:
         entry = instance.entry("feedback")
         instance.owned._refuse(entry, exceptions.Shed())
@@ -69,7 +71,7 @@
     fakes.run(test)
 
 
-def test_a_gauge_whose_label_is_gone_is_not_shown() -> None:
+def test_gauge_drops_label_sets_that_no_longer_exist() -> None:
     found = metrics.Metrics()
     found.replace(metrics.PERMITS, {("a#0",): 1, ("b#0",): 2})
     found.replace(metrics.PERMITS, {("b#0",): 3})
@@ -78,14 +80,14 @@
     assert 'cassiaquay_keeper_running_requests{shard="b#0"} 3' in page
 
 
-def test_the_heaviest_are_found_among_many_names() -> None:
-    chooser = random.Random(4)
+def test_most_frequent_names_are_found_in_bounded_memory() -> None:
+    generator = random.Random(4)
     found = top_counts.TopCounts(3)
     for _ in range(20_000):
-        if chooser.random() < 0.6:
-            found.add(f"large-{chooser.randrange(3)}")
+        if generator.random() < 0.6:
+            found.add(f"large-{generator.randrange(3)}")
             continue
-        found.add(f"small-{chooser.randrange(23_000)}")
+        found.add(f"small-{generator.randrange(23_000)}")
     assert found._top == {"large-0", "large-1", "large-2"}
     assert len(found._counts) == 3 * top_counts.COUNTERS_PER_NAME
     assert found.label("small-1") == top_counts.OTHER
@@ -101,18 +103,18 @@
     assert _counts(report, "3d", "server") == {"e1": (2, 1), "(none)": (1, 0)}
 
 
-def test_what_the_caller_or_its_limit_decided_does_not_burn() -> None:
+def test_cancelled_and_limited_requests_are_excluded_from_burn() -> None:
     found = _burn()
     found.add(10.0, _ended(code="limit_reached"))
     found.add(10.0, _ended(code="cancelled", seconds=0.5))
     assert found.report(20.0)["excluded"] == 2
     assert _counts(found.report(20.0), "1h", "all") == {}
-    # A caller that gives up after the objective's time has waited in vain.
+    # A cancellation after the objective's time counts as a bad request.
     found.add(10.0, _ended(code="cancelled", seconds=3.0))
     assert _counts(found.report(20.0), "1h", "all") == {"": (1, 0)}
 
 
-def test_old_requests_leave_the_short_windows_first() -> None:
+def test_requests_expire_from_short_windows_first() -> None:
     found = _burn()
     found.add(0.0, _ended())
     found.add(2 * HOUR, _ended(code="shed_overload"))
@@ -130,19 +132,19 @@
     assert _counts(report, "3d", "all") == {}
 
 
-def test_counters_of_a_bucket_are_bounded() -> None:
+def test_cells_per_bucket_are_bounded() -> None:
     found = _burn(max_cells=10)
     for number in range(500):
         found.add(1.0, _ended(team=f"t{number}", server=f"e{number}"))
     counts = found.report(2.0)["windows"][0]["counts"]
-    # Each service and tier may add one `other` for teams and one for servers.
+    # Each service and tier may add one `other` cell for teams and one for servers.
     assert len(counts) <= 10 + 2
     assert _counts(found.report(2.0), "5m", "all") == {"": (500, 500)}
     servers = _counts(found.report(2.0), "5m", "server")
     assert sum(total for total, _ in servers.values()) == 500
 
 
-def test_a_small_team_that_only_fails_is_named() -> None:
+def test_small_team_with_only_failures_is_named() -> None:
     found = _burn()
     for _ in range(50):
         found.add(1.0, _ended(team="large"))
--- a/tests/test_walk.py
+++ b/tests/test_walk.py
@@ -1,4 +1,4 @@
-"""What an operator does in a day, with real processes and the real commands."""
+"""Routine work of an operator, with real daemon processes and commands."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 async def _command(
     started: cluster.Cluster, name: str, *arguments: str
 ) -> tuple[int, typing.Any]:
-    """Run a command that begins at one instance; return exit code and JSON."""
+    """Run a command that starts at one instance; return its exit code and JSON."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -34,10 +34,10 @@
     return child.returncode, json.loads(output) if output else None
 
 
-async def _until(found: typing.Callable[[], typing.Awaitable[bool]]) -> None:
+async def _wait_until(found: typing.Callable[[], typing.Awaitable[bool]]) -> None:
     end = asyncio.get_running_loop().time() + BOUND_SECONDS
     while not await found():
-        assert asyncio.get_running_loop().time() < end, "it did not come about"
+        assert asyncio.get_running_loop().time() < end, "condition not met in time"
         await asyncio.sleep(0.05)
 
 
@@ -51,13 +51,13 @@
             assert before in text
             await started.publish(text.replace(before, "[tiers.background]\nrank = 7"))
 
-            async def everywhere() -> bool:
+            async def is_in_force_everywhere() -> bool:
                 code, found = await _command(started, "cq-1", "status")
                 assert code == 0
                 statuses = found["statuses"].values()
                 return [item["revision"] for item in statuses] == [2, 2, 2]
 
-            await _until(everywhere)
+            await _wait_until(is_in_force_everywhere)
             ranks = []
             for name in started.listening:
                 code, found = await _command(
@@ -79,10 +79,10 @@
 
 
 def test_a_drain_cuts_nothing(tmp_path: pathlib.Path) -> None:
-    """An operator drains an instance whose callers are in the middle of answers.
+    """Guards against a drain that cuts answers in progress off.
 
-    The callers notice nothing: their answers are whole. The instance ends by itself
-    with 0 when the last of them has ended, and its place in the report is empty.
+    The callers receive complete answers. The instance exits with 0 after its last
+    request has ended, and the burn report lists it as missing.
     """
 
     async def run() -> None:
@@ -94,12 +94,12 @@
             session = cassiaquay.Session(
                 cassiaquay.Settings(seeds=started.seeds, **settings)
             )
-            asks = []
+            tasks = []
             for number in range(9):
-                asking = session.ask(
+                request = session.ask(
                     DEPLOYMENT.model_service, f"why {number}?", max_tokens=TOKENS
                 )
-                asks.append(asyncio.create_task(asking))
+                tasks.append(asyncio.create_task(request))
             busy = ""
 
             async def one_is_busy() -> bool:
@@ -109,19 +109,19 @@
                         busy = name
                 return bool(busy)
 
-            await _until(one_is_busy)
+            await _wait_until(one_is_busy)
             other = next(name for name in started.listening if name != busy)
             code, found = await _command(started, other, "drain", busy)
             assert code == 0
             assert found == {"instance": busy, "gone": True}
-            answers = await asyncio.gather(*asks)
+            answers = await asyncio.gather(*tasks)
             await session.close()
 
-            async def forgotten() -> bool:
+            async def is_forgotten() -> bool:
                 _, status = await _command(started, other, "status")
                 return busy not in status["statuses"]
 
-            await _until(forgotten)
+            await _wait_until(is_forgotten)
             code, report = await _command(started, other, "burn")
             assert report["instances"] == 2
             assert [item["instance"] for item in report["missing"]] == [busy]
