--- a/packages/cli/cassiaquay_cli/check.py
+++ b/packages/cli/cassiaquay_cli/check.py
@@ -1,12 +1,15 @@
-"""``cassiaquay check``: judge a fleet text without a fleet."""
+"""``cassiaquay check``: validate a fleet text without a running fleet.
+
+The fleet text is the configuration of services, pools, servers, tiers and teams.
+"""
 
 import typing
 
 from . import commands, files, outputs
 
 
-class Sizes(typing.TypedDict):
-    """What an accepted text holds."""
+class ItemCounts(typing.TypedDict):
+    """Numbers of the items in an accepted text."""
 
     services: int
     pools: int
@@ -17,7 +20,7 @@
 
 @commands.commands.register("check")
 def check(file: str, json: bool = False) -> outputs.Shown:
-    """Check a fleet text whole, without a fleet; exits 2 when it is refused.
+    """Validate a fleet text without a running fleet; exits 2 when it is refused.
 
     Parameters
     ----------
@@ -27,7 +30,7 @@
         Print JSON.
     """
     found = files.read_fleet(str(file))
-    sizes = Sizes(
+    counts = ItemCounts(
         services=len(found.services),
         pools=len(found.pools),
         servers=sum(len(pool.servers) for pool in found.pools.values()),
@@ -35,8 +38,8 @@
         teams=len(found.teams),
     )
     text = (
-        f"accepted: {sizes['services']} services, {sizes['pools']} pools,"
-        f" {sizes['servers']} backend servers, {sizes['tiers']} tiers,"
-        f" {sizes['teams']} teams"
+        f"accepted: {counts['services']} services, {counts['pools']} pools,"
+        f" {counts['servers']} backend servers, {counts['tiers']} tiers,"
+        f" {counts['teams']} teams"
     )
-    return outputs.show(outputs.Output(text, sizes), json)
+    return outputs.show(outputs.Output(text, counts), json)
--- a/packages/cli/cassiaquay_cli/clients.py
+++ b/packages/cli/cassiaquay_cli/clients.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' addresses of a fleet, beginning with one that is known."""
+"""Client of the operators' addresses of a fleet, starting at a known instance."""
 
 import asyncio
 import os
@@ -19,21 +19,21 @@
 
 
 class Missing(typing.NamedTuple):
-    """An instance that gave no answer, and why."""
+    """An instance that did not respond, and the reason."""
 
     instance: str
     reason: str
 
 
 class Collected(typing.NamedTuple, typing.Generic[Body]):
-    """What the instances of a fleet answered.
+    """Responses from the instances of a fleet.
 
     Attributes
     ----------
     answers : dict of str to Body
-        By name of the instance.
+        Decoded response bodies by instance name.
     missing : list of Missing
-        Instances that gave none.
+        Instances that did not respond.
     """
 
     answers: dict[str, Body]
@@ -41,15 +41,15 @@
 
 
 class Client:
-    """Calls with the operator's credential.
+    """HTTP client that sends the credential of the environment with each call.
 
     Parameters
     ----------
     at : str
-        host:port to begin with, or several with commas between them, of which the
-        first that answers is taken; the environment's when empty.
+        host:port of the instance to start with, or a comma-separated list of which the
+        first that responds is used; taken from the environment when empty.
     http : ClientSession
-        Connections.
+        Connections to daemons.
     """
 
     def __init__(self, at: str, http: aiohttp.ClientSession):
@@ -57,22 +57,25 @@
         self.addresses = [part.strip() for part in text.split(",") if part.strip()]
         if not self.addresses:
             raise exceptions.AddressMissing(
-                "say where to begin: --at=HOST:PORT or the environment variable"
+                "no address given: set --at=HOST:PORT or the environment variable"
                 f" {ADDRESS_VARIABLE}; it is `admin=` in a daemon's log line `ready`"
             )
         self.at = self.addresses[0]
         self._http = http
         self._credential = os.environ.get(CREDENTIAL_VARIABLE, "")
 
-    async def begin(self) -> None:
-        """Begin with the first address that answers; raise when none does."""
-        last: exceptions.NothingAnswers | None = None
+    async def select_address(self) -> None:
+        """Select the first address that responds; raise NoResponse when none does.
+
+        An instance that refuses the health call, as it is not ready, has responded.
+        """
+        last: exceptions.NoResponse | None = None
         for address in self.addresses:
             try:
                 await self.get("/v1/health", bodies.Health, address)
             except exceptions.Refused:
                 pass
-            except exceptions.NothingAnswers as error:
+            except exceptions.NoResponse as error:
                 last = error
                 continue
             self.at = address
@@ -80,38 +83,38 @@
         if last is not None:
             raise last
 
-    async def get(self, path: str, shape: type[Body], at: str = "") -> Body:
-        """Return the decoded answer of one instance."""
+    async def get(self, path: str, body_type: type[Body], at: str = "") -> Body:
+        """Return the decoded response of one instance."""
         body = await self._call("GET", at or self.at, path)
         try:
-            return msgspec.json.decode(body, type=shape)
+            return msgspec.json.decode(body, type=body_type)
         except msgspec.DecodeError as error:
-            raise exceptions.NotOperators(
-                f"{at or self.at} answers {path} with something else: {error}"
+            raise exceptions.NotOperatorsAddress(
+                f"unexpected response body for {path} from {at or self.at}: {error}"
             ) from error
 
     async def post(self, path: str, at: str) -> None:
-        """Order something of one instance."""
+        """Send a command to one instance."""
         await self._call("POST", at, path)
 
     async def instances(self) -> list[bodies.Instance]:
-        """Return the fleet as the first instance sees it."""
+        """Return the instances of the fleet in the selected instance's view."""
         return await self.get("/v1/instances", list[bodies.Instance])
 
     async def collect(
-        self, path: str, shape: type[Body], instances: list[bodies.Instance]
+        self, path: str, body_type: type[Body], instances: list[bodies.Instance]
     ) -> Collected[Body]:
-        """Return the answers of all instances, and which gave none."""
+        """Call all instances; return their responses and those that sent none."""
         answers: dict[str, Body] = {}
         missing = []
-        asked = [item for item in instances if item["admin"]]
+        reachable = [item for item in instances if item["admin"]]
         for item in instances:
             if not item["admin"]:
                 reason = "listed by the platform, but no heartbeat of it is heard"
                 missing.append(Missing(item["instance"], reason))
-        calls = [self.get(path, shape, item["admin"]) for item in asked]
+        calls = [self.get(path, body_type, item["admin"]) for item in reachable]
         found = await asyncio.gather(*calls, return_exceptions=True)
-        for item, answer in zip(asked, found, strict=True):
+        for item, answer in zip(reachable, found, strict=True):
             if isinstance(answer, exceptions.NotAllowed):
                 raise answer
             if isinstance(answer, exceptions.CommandError):
@@ -133,22 +136,22 @@
         try:
             async with request as response:
                 body = await response.read()
-                _check(at, path, response.status, body)
+                _raise_for_status(at, path, response.status, body)
                 return body
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            raise exceptions.NothingAnswers(
-                f"no daemon answers at {at} ({_cause(error)}); is it up, and is this"
+            raise exceptions.NoResponse(
+                f"no daemon answers at {at} ({_describe(error)}); is it up, and is this"
                 " its `admin=` address rather than `http=` or `peer=`? Any other"
-                " instance of the fleet does as well"
+                " instance of the fleet can be used as well"
             ) from error
 
 
 def missing_lines(missing: list[Missing]) -> list[str]:
-    """Return a line for each instance that gave no answer."""
+    """Return one line for each instance that did not respond."""
     return [f"no answer of {item.instance}: {item.reason}" for item in missing]
 
 
-def _check(at: str, path: str, status: int, body: bytes) -> None:
+def _raise_for_status(at: str, path: str, status: int, body: bytes) -> None:
     if status < 300:
         return
     try:
@@ -162,15 +165,15 @@
             f"{message}; put the credential into {CREDENTIAL_VARIABLE}"
         )
     if not code:
-        raise exceptions.NotOperators(
-            f"something answers at {at}, but does not know {path} (status {status});"
+        raise exceptions.NotOperatorsAddress(
+            f"the server at {at} has no path {path} (status {status});"
             " is it the callers' address? The operators' is `admin=` in the log line"
             " `ready`"
         )
     raise exceptions.Refused(message)
 
 
-def _cause(error: Exception) -> str:
+def _describe(error: Exception) -> str:
     if isinstance(error, aiohttp.ClientConnectorError):
         return error.os_error.strerror or str(error)
     if isinstance(error, TimeoutError):
--- a/packages/cli/cassiaquay_cli/commands.py
+++ b/packages/cli/cassiaquay_cli/commands.py
@@ -1,4 +1,4 @@
-"""The registry of commands; each module of a command fills it."""
+"""Registry of commands; each command's module registers itself on import."""
 
 import asyncio
 import collections.abc
@@ -18,12 +18,12 @@
 
 
 def run(at: str, work: Work) -> outputs.Output:
-    """Return what ``work`` finds with a client that begins at ``at``."""
+    """Run ``work`` with a client that starts at ``at`` and return its output."""
 
-    async def inside() -> outputs.Output:
+    async def run_work() -> outputs.Output:
         async with aiohttp.ClientSession() as http:
             client = clients.Client(str(at), http)
-            await client.begin()
+            await client.select_address()
             return await work(client)
 
-    return asyncio.run(inside())
+    return asyncio.run(run_work())
--- a/packages/cli/cassiaquay_cli/diff.py
+++ b/packages/cli/cassiaquay_cli/diff.py
@@ -1,11 +1,11 @@
-"""``cassiaquay diff``: what a new fleet text would change."""
+"""``cassiaquay diff``: the differences between two fleet texts."""
 
 from . import commands, differences, files, outputs
 
 
 @commands.commands.register("diff")
 def diff(old: str, new: str, json: bool = False) -> outputs.Shown:
-    """Show what a new fleet text would change, place by place.
+    """Show the values that differ between two fleet texts.
 
     Parameters
     ----------
@@ -15,7 +15,7 @@
         Print JSON.
     """
     before, after = files.read_fleet(str(old)), files.read_fleet(str(new))
-    found = differences.between(before, after)
+    found = differences.compare(before, after)
     lines = []
     for item in found:
         left, right = item.before or "(none)", item.after or "(none)"
--- a/packages/cli/cassiaquay_cli/drain.py
+++ b/packages/cli/cassiaquay_cli/drain.py
@@ -1,4 +1,4 @@
-"""``cassiaquay drain``: the graceful shutdown of one instance."""
+"""``cassiaquay drain``: shut down one instance gracefully."""
 
 import asyncio
 
@@ -9,8 +9,14 @@
 POLL_SECONDS = 0.3
 
 
-def find(instances: list[bodies.Instance], name: str, force: bool) -> bodies.Instance:
-    """Return the instance to be drained; raise CommandError when it must not be."""
+def find_instance(
+    instances: list[bodies.Instance], name: str, force: bool
+) -> bodies.Instance:
+    """Return the instance to drain.
+
+    Raise UnknownInstance when no live instance has this name, and LastInstance when no
+    other instance serves, unless ``force``.
+    """
     live = [item for item in instances if item["admin"]]
     named = [item for item in live if item["instance"] == name]
     if not named:
@@ -23,23 +29,23 @@
     if not others and not force:
         raise exceptions.LastInstance(
             f"{name} is the last instance that serves: callers would have no address;"
-            " --force drains it all the same"
+            " use --force to drain it nevertheless"
         )
     return named[0]
 
 
-async def gone(client: clients.Client, address: str, timeout: float) -> None:
-    """Return when an instance answers no more; raise StillThere when it does."""
+async def wait_until_gone(client: clients.Client, address: str, timeout: float) -> None:
+    """Wait until an instance stops responding; raise DrainTimeout after ``timeout``."""
     end = asyncio.get_running_loop().time() + timeout
     while True:
         try:
             await client.get("/v1/status", bodies.Status, address)
-        except exceptions.NothingAnswers:
+        except exceptions.NoResponse:
             return
         if asyncio.get_running_loop().time() > end:
-            raise exceptions.StillThere(
-                f"it still works on open requests after {timeout:g} s; it ends when"
-                " they have: `cassiaquay status` shows how many"
+            raise exceptions.DrainTimeout(
+                f"the instance still has open requests after {timeout:g} s and exits"
+                " when they have ended; `cassiaquay status` shows how many"
             )
         await asyncio.sleep(POLL_SECONDS)
 
@@ -58,13 +64,13 @@
     Parameters
     ----------
     instance : str
-        Its name.
+        Name of the instance.
     at : str
         Operators' address of any instance; CASSIAQUAY_ADMIN otherwise.
     wait : bool
-        Return only when it has gone; --nowait returns at once.
+        Return only after it has shut down; --nowait returns at once.
     timeout : float
-        Longest wait, seconds.
+        Longest wait in seconds.
     force : bool
         Drain also the last instance that serves.
     json : bool
@@ -72,11 +78,11 @@
     """
 
     async def work(client: clients.Client) -> outputs.Output:
-        chosen = find(await client.instances(), str(instance), force)
+        chosen = find_instance(await client.instances(), str(instance), force)
         await client.post("/v1/drain", chosen["admin"])
         if wait:
-            await gone(client, chosen["admin"], timeout)
-        text = f"{instance} has gone" if wait else f"{instance} leaves"
+            await wait_until_gone(client, chosen["admin"], timeout)
+        text = f"{instance} has gone" if wait else f"{instance} is draining"
         return outputs.Output(text, {"instance": instance, "gone": wait})
 
     return outputs.show(commands.run(at, work), json)
--- a/packages/cli/cassiaquay_cli/log_lines.py
+++ b/packages/cli/cassiaquay_cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Read the daemons' log lines, key=value pairs or JSON, from files."""
+"""Parses the daemons' log files, whose lines are key=value pairs or JSON."""
 
 import pathlib
 import re
@@ -8,19 +8,19 @@
 
 from . import exceptions
 
-# A key and its value: quoted as JSON, or without blanks.
+# A key and its value, which is either a JSON string or has no spaces.
 _PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|[^ ]*)')
 
 
 class Line(typing.NamedTuple):
-    """One event.
+    """One logged event.
 
     Attributes
     ----------
     at : float
-        Unix seconds, by the clock of its instance.
+        Unix seconds, by the clock of the instance.
     instance, event : str
-        Who wrote it, and what happened.
+        Names of the instance that wrote the line and of the event.
     fields : dict of str to str
         All other pairs.
     """
@@ -32,15 +32,16 @@
 
 
 def parse(text: str) -> Line | None:
-    """Return the event of a line; None where the line is none.
+    """Return the event of a line; None when the line is not a log event.
 
-    Whatever stands before the first pair, as a collector of logs puts it there, is
-    passed over.
+    Text before the first pair is skipped, as log collectors add prefixes.
     """
-    begin = text.find("{")
-    found = _of_json(text[begin:]) if begin >= 0 and "at=" not in text[:begin] else None
+    start = text.find("{")
+    found = (
+        _parse_json(text[start:]) if start >= 0 and "at=" not in text[:start] else None
+    )
     if found is None:
-        found = _of_pairs(text)
+        found = _parse_pairs(text)
     if "at" not in found or "event" not in found:
         return None
     try:
@@ -51,7 +52,7 @@
 
 
 def read(paths: typing.Iterable[str]) -> list[Line]:
-    """Return the events of files in order of time."""
+    """Return the events of all files, sorted by time."""
     lines = []
     for path in paths:
         try:
@@ -66,7 +67,7 @@
     return lines
 
 
-def _of_json(text: str) -> dict[str, str] | None:
+def _parse_json(text: str) -> dict[str, str] | None:
     try:
         found = msgspec.json.decode(text)
     except msgspec.DecodeError:
@@ -76,14 +77,14 @@
     return {str(key): str(value) for key, value in found.items() if value is not None}
 
 
-def _of_pairs(text: str) -> dict[str, str]:
+def _parse_pairs(text: str) -> dict[str, str]:
     found: dict[str, str] = {}
     for key, value in _PAIR.findall(text):
         if value.startswith('"'):
             try:
                 value = str(msgspec.json.decode(value))
             except msgspec.DecodeError:
-                # Cut off in the middle: what is there is still of use.
+                # The string was truncated: keep the part that is there.
                 value = value[1:]
         found.setdefault(key, value)
     return found
--- a/packages/cli/cassiaquay_cli/main.py
+++ b/packages/cli/cassiaquay_cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``cassiaquay``."""
+"""Entry point of the command ``cassiaquay``."""
 
 import sys
 
@@ -24,15 +24,17 @@
 
 
 def run() -> None:
-    """Read the command line, run the command, exit with its code."""
-    named = {name: commands.commands.get(name) for name in commands.commands.names()}
+    """Parse the command line, run the command and exit with its code."""
+    functions = {
+        name: commands.commands.get(name) for name in commands.commands.names()
+    }
     try:
-        shown = fire.Fire(named, name="cassiaquay")
+        shown = fire.Fire(functions, name="cassiaquay")
     except exceptions.CommandError as error:
         print(f"cassiaquay: {error.code}: {error}", file=sys.stderr)
         raise SystemExit(error.exit_code) from error
     except KeyboardInterrupt:
-        raise SystemExit(outputs.COMPLETE) from None
+        raise SystemExit(outputs.EXIT_COMPLETE) from None
     if isinstance(shown, outputs.Shown):
         raise SystemExit(shown.exit_code)
 
--- a/packages/cli/cassiaquay_cli/status.py
+++ b/packages/cli/cassiaquay_cli/status.py
@@ -1,4 +1,4 @@
-"""``cassiaquay status``: instances, configuration, backend servers, queues."""
+"""``cassiaquay status``: instances, configuration, backend servers and queues."""
 
 import time
 import typing
@@ -9,7 +9,7 @@
 
 
 class Fleet(typing.NamedTuple):
-    """What all instances of a fleet say of themselves."""
+    """State of a fleet, collected from all its instances."""
 
     instances: list[bodies.Instance]
     statuses: clients.Collected[bodies.Status]
@@ -19,7 +19,7 @@
 
 
 async def collect(client: clients.Client) -> Fleet:
-    """Return the state of the fleet."""
+    """Collect the state of the fleet from all instances."""
     instances = await client.instances()
     statuses = await client.collect("/v1/status", bodies.Status, instances)
     servers = await client.collect("/v1/servers", list[bodies.Server], instances)
@@ -29,31 +29,35 @@
         lines.extend(found)
     lines.sort(key=lambda line: (line["shard"], line["server"]))
     return Fleet(
-        instances, statuses, lines, waiting(queues.answers), shedding(queues.answers)
+        instances,
+        statuses,
+        lines,
+        all_waiting(queues.answers),
+        shedding_shards(queues.answers),
     )
 
 
-def waiting(answers: dict[str, bodies.Queues]) -> list[bodies.Group]:
-    """Return what waits at all keepers; a team sees its own."""
+def all_waiting(answers: dict[str, bodies.Queues]) -> list[bodies.Group]:
+    """Return the waiting requests at all keepers; with a team's credential, its own."""
     found: list[bodies.Group] = []
     for answer in answers.values():
         found.extend(answer["waiting"])
     return found
 
 
-def shedding(answers: dict[str, bodies.Queues]) -> list[bodies.Running]:
-    """Return the shards that shed a tier now."""
+def shedding_shards(answers: dict[str, bodies.Queues]) -> list[bodies.Running]:
+    """Return the shards that currently shed a tier."""
     found: list[bodies.Running] = []
     for answer in answers.values():
         found.extend(item for item in answer["running"] if item["shedding"])
     return found
 
 
-async def of_team(client: clients.Client) -> outputs.Output:
-    """Return what a team may see: the instances and its own waiting requests."""
+async def team_output(client: clients.Client) -> outputs.Output:
+    """Return the output for a team: the instances and its own waiting requests."""
     instances = await client.instances()
     queues = await client.collect("/v1/queues", bodies.Queues, instances)
-    groups, missing = waiting(queues.answers), queues.missing
+    groups, missing = all_waiting(queues.answers), queues.missing
     rows = []
     for item in instances:
         rows.append([item["instance"], item["domain"], item["state"], item["http"]])
@@ -67,12 +71,12 @@
         "waiting": groups,
         "missing": [item._asdict() for item in missing],
     }
-    code = outputs.PARTIAL if missing else outputs.COMPLETE
+    code = outputs.EXIT_PARTIAL if missing else outputs.EXIT_COMPLETE
     return outputs.Output("\n\n".join(texts), data, code)
 
 
 def instance_table(fleet: Fleet) -> str:
-    """Return a line for each instance."""
+    """Return a table with one row for each instance."""
     rows = []
     for item in fleet.instances:
         name = item["instance"]
@@ -100,7 +104,7 @@
 
 
 def configuration_line(fleet: Fleet) -> str:
-    """Return one line on the configuration in force."""
+    """Return the configuration in force, and a line for each newer rejected one."""
     revisions = {item["revision"] for item in fleet.statuses.answers.values()}
     if not revisions:
         return "configuration: unknown"
@@ -124,7 +128,7 @@
 
 
 def server_table(fleet: Fleet) -> str:
-    """Return a line for each backend server."""
+    """Return a table with one row for each backend server."""
     rows = []
     for item in fleet.servers:
         load = f"{item['requests']}/{item['slots']}"
@@ -136,7 +140,7 @@
 
 
 def shedding_lines(fleet: Fleet) -> list[str]:
-    """Return a line for each shard that sheds a tier now."""
+    """Return one line for each shard that currently sheds a tier."""
     lines = []
     for item in fleet.shedding:
         tier = item["shedding"]
@@ -145,7 +149,7 @@
 
 
 def queue_table(groups: list[bodies.Group]) -> str:
-    """Return a line for each tier and team that waits."""
+    """Return a table with one row for each tier and team with waiting requests."""
     rows = []
     for item in groups:
         oldest = f"{item['oldest_seconds']:.1f} s"
@@ -160,8 +164,8 @@
 def status(at: str = "", json: bool = False) -> outputs.Shown:
     """Show instances, configuration, backend servers and queues of a fleet.
 
-    A team sees the instances and its own queue. Exits 6 when some instances gave no
-    answer.
+    A team sees the instances and its own queue. Exits 6 when some instances did not
+    respond.
 
     Parameters
     ----------
@@ -175,8 +179,8 @@
         try:
             fleet = await collect(client)
         except exceptions.NotAllowed:
-            # A team's credential; one that nobody knows is refused once more there.
-            return await of_team(client)
+            # The credential may be a team's. An unknown one is refused again below.
+            return await team_output(client)
         parts = [
             instance_table(fleet),
             configuration_line(fleet),
@@ -193,7 +197,9 @@
             "waiting": fleet.waiting,
             "shedding": fleet.shedding,
         }
-        partial = outputs.PARTIAL if fleet.statuses.missing else outputs.COMPLETE
-        return outputs.Output("\n\n".join(parts), data, partial)
+        exit_code = (
+            outputs.EXIT_PARTIAL if fleet.statuses.missing else outputs.EXIT_COMPLETE
+        )
+        return outputs.Output("\n\n".join(parts), data, exit_code)
 
     return outputs.show(commands.run(at, work), json)
--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -160,7 +160,7 @@
         admin_socket = bound[0][1]
         if self._gateway is not None:
             self._membership.http_address = settings.gateway.front
-            self._gateway.accounting.on_ended(noted.passed)
+            self._gateway.accounting.on_ended(noted.record_gateway_request)
             self._gateway.accounting.on_refused(noted.refused)
             self._gateway.start()
         else:
@@ -169,7 +169,7 @@
         early_bind.close_unclaimed()
         self._membership.admin_address = _address(admin_socket)
         tasks = [asyncio.create_task(work) for work in self._work()]
-        tasks.append(asyncio.create_task(noted.watch_lag()))
+        tasks.append(asyncio.create_task(noted.measure_lag()))
         serving = []
         for server, listening in bound:
             serving.append(asyncio.create_task(server.serve([listening])))
