--- a/packages/daemon/cassiaquay_daemon/adapters/backends.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/backends.py
@@ -325,5 +325,7 @@
     except msgspec.DecodeError as error:
         raise exceptions.StreamInterrupted(str(error)) from error
     if done["count"] != answer.count:
-        raise exceptions.StreamInterrupted(f"got {answer.count} events of {done['count']}")
+        raise exceptions.StreamInterrupted(
+            f"got {answer.count} events of {done['count']}"
+        )
     return TokenUsage(done["prompt_tokens"], done["cached_tokens"], answer.count)
--- a/packages/daemon/cassiaquay_daemon/operators/explain.py
+++ b/packages/daemon/cassiaquay_daemon/operators/explain.py
@@ -233,7 +233,9 @@
                     )
                 return body
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            raise exceptions.AdminInstanceUnreachable(f"{member.instance}: {error!r}") from error
+            raise exceptions.AdminInstanceUnreachable(
+                f"{member.instance}: {error!r}"
+            ) from error
 
 
 class _Problem(msgspec.Struct):
--- a/tests/owner_fakes.py
+++ b/tests/owner_fakes.py
@@ -118,7 +118,9 @@
     ) -> backends.TokenUsage:
         raise exceptions.StreamNotFound(key)
 
-    async def cancel(self, server: fleet.Server, key: str) -> backends.WastedTokens | None:
+    async def cancel(
+        self, server: fleet.Server, key: str
+    ) -> backends.WastedTokens | None:
         self._servers.stopped.append(key)
         return backends.WastedTokens(7, 0)
 
