--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -1,4 +1,7 @@
-"""A pool of two shards with a keeper each: what one sheds, the other must not serve."""
+"""Floors between the shards of a pool: no lower tier is served while one sheds.
+
+A pool of two shards, each with its own keeper.
+"""
 
 import asyncio
 import typing
@@ -26,35 +29,35 @@
 
 
 class Wire:
-    """A link from one keeper to another, which a test can cut."""
+    """A link from one keeper to another, which a test can interrupt."""
 
     def __init__(self, instance: str):
         self.instance = instance
         self.handlers: dict[type, typing.Any] = {}
-        self.back: Wire | None = None
-        self.cut = False
+        self.reverse: Wire | None = None
+        self.is_interrupted = False
 
     def send(self, message: messages.Message) -> bool:
-        if not self.cut and type(message) in self.handlers:
-            self.handlers[type(message)](self.back, message)
-        return not self.cut
+        if not self.is_interrupted and type(message) in self.handlers:
+            self.handlers[type(message)](self.reverse, message)
+        return not self.is_interrupted
 
 
 class Members(fakes.Membership):
-    """Members with a keeper for each shard."""
+    """Fake membership in which each shard has its own keeper."""
 
     def keeper_of(self, key: str) -> str:
         return "cq-1" if key == FIRST else "cq-2"
 
 
-class Pair:
-    """Two keeper roles joined by wires, and the owner of all requests."""
+class KeeperPair:
+    """Two keepers connected by wires, and the owner of all requests."""
 
     def __init__(self) -> None:
         self.owner = fakes.Owner("cq-9")
         self.wires = {name: Wire(name) for name in ("cq-1", "cq-2")}
-        self.wires["cq-1"].back = self.wires["cq-2"]
-        self.wires["cq-2"].back = self.wires["cq-1"]
+        self.wires["cq-1"].reverse = self.wires["cq-2"]
+        self.wires["cq-2"].reverse = self.wires["cq-1"]
         self.keepers = {name: self._keeper(name) for name in self.wires}
 
     def _keeper(self, name: str) -> keeper.Keeper:
@@ -64,17 +67,17 @@
         other = "cq-2" if name == "cq-1" else "cq-1"
         members.owners[other] = self.wires[other]  # type: ignore[assignment]
         members.alive = lambda: [self.owner]  # type: ignore[method-assign]
-        made = keeper.Keeper(
+        created = keeper.Keeper(
             fakes.settings(name, max_queue=1),
             links,  # type: ignore[arg-type]
             members,  # type: ignore[arg-type]
             configured,  # type: ignore[arg-type]
         )
         self.wires[name].handlers = links.handlers
-        return made
+        return created
 
     def open(self) -> None:
-        """Let the owner tell both that nothing is out."""
+        """Report to both keepers that the owner has no outstanding requests."""
         for name, shard in (("cq-1", FIRST), ("cq-2", SECOND)):
             self.keepers[name].renewal(self.owner, messages.Renewal(shard, []))
 
@@ -84,11 +87,11 @@
         self.keepers[name].demand(self.owner, demand)
 
     async def fill(self) -> None:
-        """Take every slot of the first shard, one by one: its queue is short."""
+        """Occupy every slot of the first shard, one by one since its queue is short."""
         count = len(_snapshot().shard_servers(FIRST))
         for number in range(count):
             self.ask("cq-1", FIRST, f"fill{number}", 0)
-            await _turn()
+            await _run_pending_tasks()
         assert len(self.owner.permits()) == count
 
 
@@ -98,13 +101,13 @@
         yield time
 
 
-async def _turn() -> None:
+async def _run_pending_tasks() -> None:
     for _ in range(8):
         await asyncio.sleep(0)
 
 
-def test_no_shard_serves_a_lower_tier_once_another_has_shed_a_higher_one(time) -> None:
-    """A caller of the urgent tier is refused while background work is sent on.
+def test_no_shard_grants_a_lower_tier_once_another_has_shed_a_higher_one(time) -> None:
+    """Guards against shedding an urgent demand while background work is served.
 
     The first shard is full and its queue too long; the second one has free servers.
     The second shard must hold its background demands back before the first one
@@ -112,74 +115,75 @@
     """
 
     async def work() -> None:
-        pair = Pair()
+        pair = KeeperPair()
         pair.open()
         await pair.fill()
         for number in range(2):
             pair.ask("cq-1", FIRST, f"urgent{number}", 0)
-        await _turn()
+        await _run_pending_tasks()
         assert list(pair.owner.sheds()) == ["urgent1"]
         pair.ask("cq-2", SECOND, "urgent2", 0)
-        await _turn()
+        await _run_pending_tasks()
         assert "urgent2" in pair.owner.permits()
         pair.ask("cq-2", SECOND, "background", 1)
-        await _turn()
+        await _run_pending_tasks()
         assert "background" not in pair.owner.permits()
         assert "background" not in pair.owner.sheds()
         time.now += floors.HOLD_SECONDS + 0.1
         pair.ask("cq-2", SECOND, "background", 1)
-        await _turn()
+        await _run_pending_tasks()
         assert "background" in pair.owner.permits()
 
     asyncio.run(work())
 
 
-def test_a_shard_that_cannot_reach_the_others_sheds_after_its_patience(time) -> None:
-    """A partition lies between the keepers of a pool; a caller is to be refused.
+def test_unreachable_shard_delays_a_shed_by_a_bounded_time(time) -> None:
+    """Guards against a refusal that waits indefinitely for an unreachable keeper.
 
-    Its final answer is held up for no longer than the patience with the other keeper:
-    whether that one serves lower tiers cannot be known.
+    A partition separates the keepers of a pool. The shed is delayed by at most
+    `floors.PATIENCE_SECONDS`: whether the other keeper serves lower tiers is unknown.
     """
 
     async def work() -> None:
-        pair = Pair()
+        pair = KeeperPair()
         for wire in pair.wires.values():
-            wire.cut = True
+            wire.is_interrupted = True
         pair.open()
         await pair.fill()
         for number in range(2):
             pair.ask("cq-1", FIRST, f"urgent{number}", 0)
-        await _turn()
+        await _run_pending_tasks()
         assert not pair.owner.sheds()
         time.now += floors.PATIENCE_SECONDS + 0.01
         pair.ask("cq-1", FIRST, "urgent0", 0)
-        await _turn()
+        await _run_pending_tasks()
         assert list(pair.owner.sheds()) == ["urgent1"]
 
     asyncio.run(work())
 
 
-def test_a_floor_of_a_less_important_tier_is_not_enough(time) -> None:
-    """An urgent request is to be shed soon after a background one was.
+def test_hold_for_a_less_important_tier_is_not_sufficient(time) -> None:
+    """Guards against relying on the hold for a less important tier.
 
-    The other shard holds back what is below background, which is nothing; it must be
-    asked anew before the urgent request is given up.
+    An urgent demand is to be shed soon after a background one. The other shard holds
+    back only tiers below background, so it must be asked again before the urgent
+    demand is shed.
     """
 
     async def work() -> None:
-        pair = Pair()
+        pair = KeeperPair()
         pair.open()
         await pair.fill()
         pair.ask("cq-1", FIRST, "background0", 1)
         pair.ask("cq-1", FIRST, "background1", 1)
-        await _turn()
+        await _run_pending_tasks()
         assert list(pair.owner.sheds()) == ["background1"]
         pair.ask("cq-1", FIRST, "urgent0", 0)
         pair.ask("cq-1", FIRST, "urgent1", 0)
-        await _turn()
+        await _run_pending_tasks()
         assert "urgent1" in pair.owner.sheds()
         pair.ask("cq-2", SECOND, "background2", 1)
-        await _turn()
+        await _run_pending_tasks()
         assert "background2" not in pair.owner.permits()
 
     asyncio.run(work())
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -81,10 +81,10 @@
     names = [bench.demand(remaining_ms=12_000) for _ in range(20)]
     bench.serve()
     sheds = bench.owner.sheds()
-    retry_after_ms = {sheds[name].retry_after_ms for name in names}
-    assert min(retry_after_ms) >= 12_000 * 2 // 9
-    assert max(retry_after_ms) <= 12_000 // 3
-    assert len(retry_after_ms) > 10
+    delays_ms = {sheds[name].retry_after_ms for name in names}
+    assert min(delays_ms) >= 12_000 * 2 // 9
+    assert max(delays_ms) <= 12_000 // 3
+    assert len(delays_ms) > 10
 
 
 def test_demand_waits_for_a_slot_that_frees_in_time(time) -> None:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,8 +1,8 @@
-"""More load than a large pool can carry: 195 daemons, four shards, fifty engines.
+"""Overload of a large pool: 195 daemons, four shards, fifty engines.
 
-Played in virtual time with the daemon's own roles. Requests of three ranks burst to
-twice their rate for some seconds; each shard has a keeper of its own, and every daemon
-takes requests.
+A simulation in virtual time that runs the daemon's own keepers and owners. Requests of
+three ranks burst to twice their rate for some seconds; each shard has its own keeper,
+and every daemon accepts requests.
 """
 
 import collections
@@ -15,14 +15,14 @@
 
 
 class Result:
-    """A played day.
+    """A simulated day and its outcome.
 
     Parameters
     ----------
     day : Day
-        What was played.
+        The simulated load and engines.
     found : Played
-        What came of it.
+        The outcome of the simulation.
     """
 
     def __init__(self, day: days.Day, found: played.Played):
@@ -30,7 +30,7 @@
         self.found = found
 
     def share(self, kind: str, outcome: str, start: float, end: float) -> float:
-        """Return the share of a kind's arrivals of some seconds that ended so."""
+        """Return the share of a kind's arrivals in a period with a given outcome."""
         counts: collections.Counter[str] = collections.Counter()
         for item in self.found.ended:
             if item.request.kind == kind and start <= item.request.at < end:
@@ -38,27 +38,27 @@
         return counts[outcome] / max(sum(counts.values()), 1)
 
     def busy(self, start: float, end: float) -> float:
-        """Return the mean share of slots that were taken."""
+        """Return the mean share of occupied slots in a period."""
         slots = self.day.engines.count * self.day.engines.slots
-        taken = []
+        occupied = []
         for sample in self.found.samples:
             if start <= sample.at < end:
-                taken.append(sample.busy_fast + sample.busy_slow)
-        return sum(taken) / len(taken) / slots
+                occupied.append(sample.busy_fast + sample.busy_slow)
+        return sum(occupied) / len(occupied) / slots
 
 
 @pytest.fixture(name="burst", scope="module")
 def _burst() -> Result:
-    """Play seconds 3 to 6 of a burst, and what follows."""
+    """Simulate a burst from second 3 to 6 and the time after it."""
     day = days.read("burst")
     return Result(day, virtual_time.run(played.play(day, 1)))
 
 
-def test_engines_stay_full_while_requests_are_refused(burst: Result) -> None:
-    """Some request of a higher rank is refused in every moment of the burst.
+def test_engines_stay_busy_while_requests_are_refused(burst: Result) -> None:
+    """Guards against empty slots in all shards whenever a higher rank is shed.
 
-    Slots that come free meanwhile are for whoever waits, of any rank: kept empty in all
-    shards for each of them, a third of the engines' work would be lost.
+    Some request of a higher rank is refused at every moment of the burst. Keeping all
+    free slots empty for each of them would lose a third of the engines' work.
     """
     assert burst.busy(4.5, 9.0) > 0.95
 
@@ -71,24 +71,24 @@
     assert refused[0] < 0.05 < refused[2]
 
 
-def test_the_most_important_rank_alone_fits_and_is_never_refused(burst: Result) -> None:
-    """Reports alone need little over half of what the engines can do, burst or not.
+def test_top_rank_that_fits_alone_is_never_refused(burst: Result) -> None:
+    """Guards against refusing a report while a lower rank is served.
 
-    One that is refused stands there in vain for a lower rank that was served.
+    Reports alone need little more than half of the engines' capacity, also in a burst.
     """
     assert burst.share(REPORT, played.REFUSED, 0.0, burst.day.seconds) == 0.0
 
 
-def test_the_most_important_rank_is_served_as_without_a_burst(burst: Result) -> None:
+def test_top_rank_stays_in_time_during_a_burst(burst: Result) -> None:
     in_time = burst.share(REPORT, played.IN_TIME, 3.0, 9.0)
     assert in_time > 0.9 * burst.share(REPORT, played.IN_TIME, 1.5, 3.0)
 
 
-def test_nobody_is_refused_while_a_tenth_of_the_slots_is_free(burst: Result) -> None:
-    """In the burst and after it, what engines can still do is done.
+def test_no_request_is_refused_while_a_tenth_of_slots_is_free(burst: Result) -> None:
+    """Guards against refusals with free slots, in the burst and after it.
 
-    Refused with slots free, a caller stands back for a wrong reckoning or for a
-    slot in another shard. Slots that come free in the same tenth of a second are taken.
+    Such a refusal results from a wrong forecast or a slot kept for another shard. A
+    slot that becomes free within the same tenth of a second counts as occupied.
     """
     slots = burst.day.engines.count * burst.day.engines.slots
     free_at = []
@@ -103,15 +103,15 @@
     assert refused <= 0.01 * len(burst.found.refused_at)
 
 
-def test_a_burst_is_over_when_it_is_over(burst: Result) -> None:
-    """Two seconds after its last request nobody is refused any more.
+def test_refusals_stop_two_seconds_after_a_burst(burst: Result) -> None:
+    """Guards against refusals more than two seconds after the end of a burst.
 
-    For one second of them all slots are taken by what the burst has left, and refused
-    callers are back.
+    For one of these seconds all slots are occupied by requests of the burst, and
+    refused callers retry.
     """
     for kind in (REPORT, QUESTION, TAG):
         assert burst.share(kind, played.REFUSED, 11.0, 14.0) < 0.02
 
 
-def test_a_burst_costs_no_more_than_what_engines_lack(burst: Result) -> None:
+def test_worth_of_a_burst_stays_above_a_minimum(burst: Result) -> None:
     assert played.worth(burst.found.ended) > 0.8
--- a/tests/test_servers_health.py
+++ b/tests/test_servers_health.py
@@ -16,9 +16,9 @@
 def test_broken_engine_gets_one_probe_at_a_time_in_a_burst(time) -> None:
     """Guards against an engine that aborts each run at once and attracts all overflow.
 
-    A burst fills the other engine, so the broken one always has free slots. After four
-    failures it gets one probe at a time; other requests are refused and can be retried.
-    Its first successful run ends this.
+    It aborts runs after 20 ms, and a burst fills the other engine, so the broken one
+    always has free slots. After four failures it gets one probe at a time; other
+    requests are refused and can be retried. Its first successful run ends this.
     """
     bench = objectives_fakes.Bench(time, {"good": 1, "broken": 4})
     bench.demand(name="long", events=400)
@@ -71,7 +71,10 @@
 
 
 def test_one_slow_call_does_not_mark_a_plain_server_silent(time) -> None:
-    """Guards against mistaking one slow call, which may take a second, for silence."""
+    """Guards against mistaking one slow call for silence.
+
+    A booking may take a second while other calls take 50 ms.
+    """
     bench = objectives_fakes.Bench(time, {"a": 6})
     plain = {"prompt": 0, "events": 0, "pause_ms": 0}
     bench.demand(name="long", **plain)
--- a/tests/test_spillover.py
+++ b/tests/test_spillover.py
@@ -1,4 +1,4 @@
-"""Demands that cannot be in time in their shard go to one where they can."""
+"""Spill-over: demands that would be late in their shard move to another shard."""
 
 import asyncio
 
@@ -13,30 +13,30 @@
 
 
 class Snapshot:
-    """A pool of three shards."""
+    """Fake snapshot of a pool with three shards."""
 
     def siblings(self, shard: str) -> list[str]:
         """Return the other shards."""
         return [name for name in (HERE, THERE, BUSY) if name != shard]
 
 
-class Role:
-    """A keeper role that has one shard; cq-2 has the others."""
+class KeeperRole:
+    """Fake keeper of one shard; instance cq-2 keeps the others."""
 
     def __init__(self, shard: shards.Shard):
         self.shards = {HERE: shard}
 
     def keeper_of(self, shard: str) -> str:
-        """Return the keeper."""
+        """Return the instance that keeps a shard."""
         return "cq-1" if shard == HERE else "cq-2"
 
     def keeps(self, shard: str) -> bool:
-        """Tell whether it is kept here."""
+        """Return whether this instance keeps a shard."""
         return shard == HERE
 
 
 class Pool:
-    """One shard's keeper, and what the others tell it."""
+    """One shard with its spill-over, and the reports of the other shards' keeper."""
 
     def __init__(self) -> None:
         self.shard = fakes.shard({"a": 1})
@@ -45,34 +45,36 @@
         self.other = fakes.Owner("cq-2")
         self.links = fakes.Links()
         members = fakes.Membership("cq-1", [self.other])
-        role = Role(self.shard)
-        mates = siblings.Siblings("cq-1", members, role.keeper_of, lambda: Snapshot())
-        self.spillover = spillover.SpillOver(self.links, role, mates)
+        role = KeeperRole(self.shard)
+        sibling_shards = siblings.Siblings(
+            "cq-1", members, role.keeper_of, lambda: Snapshot()
+        )
+        self.spillover = spillover.SpillOver(self.links, role, sibling_shards)
         self.shard.find_sibling = lambda waiting, limit: self.spillover.move(
             HERE, waiting, limit
         )
 
-    def told(self, shard: str, *waits: tuple[int, float, float]) -> None:
-        """Hear what demands wait in another shard."""
+    def report_waits(self, shard: str, *waits: tuple[int, float, float]) -> None:
+        """Deliver another shard's report of its waits."""
         found = [messages.RankWait(*wait) for wait in waits]
         self.links.handlers[messages.Waits](self.other, messages.Waits(shard, found))
 
     def fill(self) -> None:
-        """Let an answer of some seconds take the only slot."""
+        """Occupy the only slot with an answer of some seconds."""
         self.policy._times_of("a").event_seconds = 0.05
         self.demand("full", output_tokens=100)
         self.policy.serve()
         assert "full" in self.owner.permits()
 
     def demand(self, name: str, rank: int = 0, **fields) -> None:
-        """Bring a demand that should begin within 0.4 s."""
+        """Add a demand whose first event is due within 0.4 s."""
         found = fakes.demand(name, rank=rank)._replace(
             first_ms=400, remaining_ms=12_000, pause_ms=300
         )
         self.shard.add(found._replace(**fields), self.owner)
 
     def moved(self) -> dict[str, str]:
-        """Return where demands were sent."""
+        """Return the target shard of each moved demand."""
         found = [item for item in self.owner.sent if isinstance(item, messages.Moved)]
         return {item.id: item.target for item in found}
 
@@ -83,100 +85,103 @@
         yield time
 
 
-def test_a_demand_goes_where_it_is_in_time(time) -> None:
-    """The only slot here is taken for seconds; another shard has free ones.
+def test_demand_moves_to_a_shard_where_it_is_in_time(time) -> None:
+    """Guards against shedding in one shard while another has free slots.
 
-    Refused here, its caller would wait and come back, and all shards would hold lower
-    tiers back meanwhile.
+    The only slot here is occupied for seconds. A shed would make the caller wait and
+    retry, and make all shards hold lower tiers back in the meantime.
     """
     pool = Pool()
     pool.fill()
-    pool.told(THERE, (0, 20.0, 5.0))
-    pool.told(BUSY, (0, 150.0, 5.0))
+    pool.report_waits(THERE, (0, 20.0, 5.0))
+    pool.report_waits(BUSY, (0, 150.0, 5.0))
     pool.demand("late")
     pool.policy.serve()
     assert pool.moved() == {"late": THERE}
     assert "late" not in pool.shard.queue
 
 
-def test_nothing_is_moved_where_it_would_be_late_too(time) -> None:
+def test_demand_is_not_moved_where_it_would_be_late(time) -> None:
     pool = Pool()
     pool.fill()
-    pool.told(THERE, (0, 900.0, 5.0))
+    pool.report_waits(THERE, (0, 900.0, 5.0))
     pool.demand("late")
     pool.policy.serve()
     assert not pool.moved()
 
 
-def test_a_rank_that_is_held_back_there_is_not_moved_there(time) -> None:
-    """A shard tells no wait for ranks that get no slot in it."""
+def test_demand_is_not_moved_where_its_rank_is_held_back(time) -> None:
+    """A shard reports no wait for ranks that get no slot in it."""
     pool = Pool()
     pool.fill()
-    pool.told(THERE, (0, 0.0, 5.0))
+    pool.report_waits(THERE, (0, 0.0, 5.0))
     pool.demand("lower", rank=1)
     pool.policy.serve()
     assert not pool.moved()
 
 
-def test_what_was_moved_there_counts_until_the_next_news(time) -> None:
-    """Ten arrive at once; the other shard has room for a few of them in time."""
+def test_moved_demands_count_until_the_next_report(time) -> None:
+    """Guards against moving more demands than the other shard can serve in time.
+
+    Ten demands arrive between two of its reports.
+    """
     pool = Pool()
     pool.fill()
-    pool.told(THERE, (0, 100.0, 60.0))
+    pool.report_waits(THERE, (0, 100.0, 60.0))
     for number in range(10):
         pool.demand(f"d{number}")
     pool.policy.serve()
     assert 1 <= len(pool.moved()) <= 5
 
 
-def test_old_news_is_not_trusted(time) -> None:
-    """The other shard's keeper was paused: its last word was that it has room."""
+def test_old_report_is_ignored(time) -> None:
+    """The other shard's keeper was paused after it had reported free capacity."""
     pool = Pool()
     pool.fill()
-    pool.told(THERE, (0, 0.0, 0.0))
+    pool.report_waits(THERE, (0, 0.0, 0.0))
     time.now += spillover.TRUST_SECONDS + 0.05
     pool.demand("late")
     pool.policy.serve()
     assert not pool.moved()
 
 
-def test_a_demand_is_not_passed_round(time) -> None:
+def test_number_of_moves_of_a_demand_is_bounded(time) -> None:
     pool = Pool()
     pool.fill()
-    pool.told(THERE, (0, 0.0, 0.0))
+    pool.report_waits(THERE, (0, 0.0, 0.0))
     pool.demand("tired", moves=spillover.MOST_MOVES)
     pool.policy.serve()
     assert not pool.moved()
 
 
-def test_keepers_tell_what_demands_wait(time) -> None:
+def test_keeper_announces_its_waits(time) -> None:
     pool = Pool()
     pool.demand("first")
     pool.policy.serve()
     pool.spillover.announce()
-    [told] = pool.other.sent
-    assert isinstance(told, messages.Waits)
-    assert told.shard == HERE
-    assert [item.rank for item in told.waits] == [0]
-    assert told.waits[0].wait_ms > 0
+    [message] = pool.other.sent
+    assert isinstance(message, messages.Waits)
+    assert message.shard == HERE
+    assert [item.rank for item in message.waits] == [0]
+    assert message.waits[0].wait_ms > 0
 
 
 class Local(fakes.Owner):
-    """The keeper role of the instance, which keeps nothing."""
+    """Fake of the instance's own keeper, which keeps no shard."""
 
     def on_ask(self, call) -> None:
-        """Keep nothing."""
+        """Ignore the callback."""
 
     def keeper_of(self, shard: str) -> str:
         """Return another instance for each shard."""
         return "cq-2" if shard == HERE else "cq-3"
 
 
-def test_an_owner_asks_where_it_is_sent(time) -> None:
-    """The demand is told to the other keeper, with the time that is left.
+def test_owner_sends_a_moved_demand_to_the_other_keeper(time) -> None:
+    """A moved demand is sent to the other keeper with the remaining time.
 
-    A permit that the first keeper gave before that is given back: two permits would
-    take two slots.
+    A permit of the first keeper that arrives afterwards is withdrawn: two permits would
+    occupy two slots.
     """
 
     async def work() -> None:
@@ -189,8 +194,8 @@
         await asyncio.sleep(0)
         time.now += 0.1
         found.answer(first, messages.Moved("d1", HERE, THERE))
-        [told] = second.sent
-        assert (told.shard, told.moves, told.first_ms) == (THERE, 1, 300)
+        [message] = second.sent
+        assert (message.shard, message.moves, message.first_ms) == (THERE, 1, 300)
         found.answer(first, messages.Permit("d1", "a", 1000, HERE))
         assert isinstance(first.sent[-1], messages.Withdraw)
         found.answer(second, messages.Permit("d1", "b", 1000, THERE))
--- a/tests/test_texts.py
+++ b/tests/test_texts.py
@@ -1,4 +1,4 @@
-"""Settings and fleet texts are accepted whole or refused with code and place."""
+"""Validation of settings and fleet texts: accepted, or refused with code and place."""
 
 import pytest
 
@@ -69,7 +69,7 @@
 ]
 
 
-def test_accepts_the_deployments() -> None:
+def test_fleet_texts_of_all_deployments_are_accepted() -> None:
     for name in deployments.deployments.names():
         found = deployments.deployments.get(name)
         names = [item.name for item in [*found.engines, *found.plains]]
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(("old", "new", "kind", "place"), FAULTS)
-def test_refuses(
+def test_invalid_fleet_text_is_refused(
     old: str, new: str, kind: type[exceptions.SchemaError], place: str
 ) -> None:
     assert old in TEXT
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(("line", "kind", "place"), SETTINGS_FAULTS)
-def test_settings_refuse(
+def test_invalid_settings_are_refused(
     line: str, kind: type[exceptions.SchemaError], place: str
 ) -> None:
     assert texts.read_settings(SETTINGS).instance == "a"
@@ -132,7 +132,7 @@
     assert caught.value.accepted
 
 
-def test_an_unknown_key_is_told_the_known_ones() -> None:
+def test_error_for_an_unknown_key_lists_the_known_keys() -> None:
     with pytest.raises(exceptions.ShapeFault) as caught:
         texts.read_fleet(TEXT.replace("weight = 1.0", "weigth = 1.0", 1))
     assert "requests_per_second" in caught.value.accepted
@@ -145,7 +145,7 @@
         ("", "platform.configuration_adapter"),
     ],
 )
-def test_settings_name_registered_behaviour(line: str, place: str) -> None:
+def test_settings_with_an_unregistered_name_are_refused(line: str, place: str) -> None:
     names.check_settings(texts.read_settings(SETTINGS))
     text = f"{line}\n{SETTINGS}"
     if not line:
@@ -156,11 +156,11 @@
     assert "one of: " in caught.value.accepted
 
 
-def test_a_pool_with_an_unknown_adapter_is_not_put_in_force() -> None:
-    """A published text names a protocol that this daemon does not speak.
+def test_fleet_text_with_an_unknown_adapter_is_refused() -> None:
+    """Guards against a published text with an adapter that this daemon lacks.
 
-    Put in force, each request to that pool would fail at its dispatch. It is refused
-    whole instead; the revision before it stays in force.
+    If it were accepted, each request to that pool would fail at its dispatch. The whole
+    text is refused instead, and the previous revision stays in force.
     """
     assert snapshots.read(1, TEXT).revision == 1
     with pytest.raises(exceptions.NameFault) as caught:
