--- a/packages/daemon/cassiaquay_daemon/decisions/forecasts.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/forecasts.py
@@ -43,7 +43,7 @@
         self._servers = servers
         self._arriving = arriving
         # Seconds until each slot becomes free, in ascending order.
-        self._free_at: list[float] = []
+        self._free_in_seconds: list[float] = []
 
     def refresh(self) -> None:
         """Recompute the forecast from all running requests."""
@@ -54,26 +54,26 @@
             if running.server in self._servers.times:
                 found.append(self._remaining_seconds(running, now))
         found.sort()
-        self._free_at = found
+        self._free_in_seconds = found
 
     def take_slot(self, request_id: str) -> None:
         """Replace a free slot by the end of the request that was granted it."""
-        if self._free_at and not self._free_at[0]:
-            del self._free_at[0]
+        if self._free_in_seconds and not self._free_in_seconds[0]:
+            del self._free_in_seconds[0]
             remaining = self._remaining_seconds(
                 self._shard.running[request_id], clock.now()
             )
-            bisect.insort(self._free_at, remaining)
+            bisect.insort(self._free_in_seconds, remaining)
 
     def wait_seconds(self, rank: int, ahead: int) -> float:
         """Return the estimated wait for a slot behind ``ahead`` other demands."""
-        free_at = self._free_at
-        if not free_at:
+        free_in = self._free_in_seconds
+        if not free_in:
             return ABANDON_SECONDS
         rate = self._arriving.rate_above(rank)
-        wait = free_at[min(ahead, len(free_at) - 1)]
-        position = min(ahead + int(rate * wait), len(free_at) - 1)
-        return free_at[position] * max((ahead + 1) / len(free_at), 1.0)
+        wait = free_in[min(ahead, len(free_in) - 1)]
+        position = min(ahead + int(rate * wait), len(free_in) - 1)
+        return free_in[position] * max((ahead + 1) / len(free_in), 1.0)
 
     def _remaining_seconds(self, running: shards.Running, now: float) -> float:
         known = self._servers.times[running.server]
--- a/packages/daemon/cassiaquay_daemon/decisions/loads.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/loads.py
@@ -20,21 +20,21 @@
     expected_seconds: float
 
 
-class Started(typing.NamedTuple):
+class FinishedPrefill(typing.NamedTuple):
     """A prompt whose first event has just arrived.
 
     Attributes
     ----------
     tokens : int
         Its uncached tokens.
-    alone_seconds : float
+    head_seconds : float
         Time for which it was at the head of the engine's prefill queue.
     seconds, expected_seconds : float
         Time from the permit to the first event, measured and estimated.
     """
 
     tokens: int
-    alone_seconds: float
+    head_seconds: float
     seconds: float
     expected_seconds: float
 
@@ -60,7 +60,7 @@
         self._prefills = collections.OrderedDict()
         self._head_since = 0.0
 
-    def begin(
+    def add_prefill(
         self, request_id: str, uncached: int, now: float, expected: float
     ) -> None:
         """Add a prompt granted to the engine, which reads prompts in arrival order."""
@@ -69,22 +69,22 @@
         self._prefills[request_id] = Prefill(uncached, now, expected)
         self.prefill_tokens += uncached
 
-    def start(self, request_id: str, at: float) -> Started | None:
+    def finish_prefill(self, request_id: str, at: float) -> FinishedPrefill | None:
         """Record a first event; return None when the prompt is not in the queue."""
         prefill = self._prefills.get(request_id)
         if prefill is None:
             return None
         since = max(self._head_since, prefill.granted_at)
-        found = Started(
+        found = FinishedPrefill(
             prefill.tokens,
             at - since,
             at - prefill.granted_at,
             prefill.expected_seconds,
         )
-        self.forget(request_id, at)
+        self.remove_prefill(request_id, at)
         return found
 
-    def forget(self, request_id: str, at: float) -> None:
+    def remove_prefill(self, request_id: str, at: float) -> None:
         """Remove a prompt from the prefill queue, if it is still there."""
         prefill = self._prefills.pop(request_id, None)
         if prefill is None:
--- a/packages/daemon/cassiaquay_daemon/decisions/objectives.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/objectives.py
@@ -106,10 +106,10 @@
         """Update the estimated time between events."""
         self._times_of(server).advanced(tokens, seconds)
 
-    def started(self, running: shards.Running, found: loads.Started) -> None:
+    def started(self, running: shards.Running, found: loads.FinishedPrefill) -> None:
         """Update the estimated prefill rate from a first event."""
-        self._times_of(running.server).read(
-            found.tokens, found.alone_seconds, found.seconds
+        self._times_of(running.server).prefilled(
+            found.tokens, found.head_seconds, found.seconds
         )
 
     def stopped(self, running: shards.Running) -> None:
@@ -303,8 +303,8 @@
             )
             if now + MARGIN_SECONDS <= objective_at and not hold_outlasts:
                 continue
-            # Extends the hold below this rank only. Raising the floor here would renew
-            # it for the demands that it holds back, and it would never end.
+            # Holds back the ranks below this one. The floor is not raised: if the
+            # demands that a floor holds back renewed it, it would never end.
             self._shard.cutoffs.hold_back(rank, now + FLOOR_SECONDS)
             retry_after_ms = self._retry_after_ms(waiting, now)
             self._shard.shed(waiting, "shed_overload", retry_after_ms)
--- a/packages/daemon/cassiaquay_daemon/decisions/service_times.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/service_times.py
@@ -124,24 +124,24 @@
         if self.failure_share(now) > BROKEN_SHARE:
             self._broken_until = now + PROBE_SECONDS
 
-    def read(self, tokens: int, alone_seconds: float, seconds: float) -> None:
+    def prefilled(self, tokens: int, head_seconds: float, seconds: float) -> None:
         """Learn from a first event.
 
         Parameters
         ----------
         tokens : int
             Uncached tokens of the prompt.
-        alone_seconds : float
+        head_seconds : float
             Time for which the prompt was at the head of the prefill queue.
         seconds : float
             Time from the permit to the first event.
         """
         self._mark_responsive()
         if tokens < MIN_RATE_SAMPLE_TOKENS:
-            sample = min(alone_seconds, seconds) - tokens / self.rate
+            sample = min(head_seconds, seconds) - tokens / self.rate
             self._learn_base(max(sample, 0.0))
             return
-        spent = alone_seconds - self.base_seconds
+        spent = head_seconds - self.base_seconds
         if spent <= 0.0:
             return
         rate = min(max(tokens / spent, MIN_RATE), MAX_RATE)
--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -96,7 +96,7 @@
     def advanced(self, server: str, tokens: int, seconds: float) -> None:
         """Handle an answer that grew by ``tokens`` (possibly 0) in ``seconds``."""
 
-    def started(self, running: Running, found: loads.Started) -> None:
+    def started(self, running: Running, found: loads.FinishedPrefill) -> None:
         """Handle the first event after a prompt's prefill."""
 
     def stopped(self, running: Running) -> None:
@@ -262,7 +262,7 @@
             self.running[step.id] = running._replace(dispatched=True, expires_at=lease)
             if not step.started:
                 continue
-            found = self.load(running.server).start(step.id, at)
+            found = self.load(running.server).finish_prefill(step.id, at)
             self._refused.pop(running.server, None)
             self.cold_budgets.cold.confirm_alive(running.server)
             if found is None:
@@ -311,7 +311,7 @@
         )
         self._add_running(demand.id, running)
         uncached = max(demand.prompt_tokens - cached_tokens, 0)
-        self.load(server).begin(demand.id, uncached, now, expected_seconds)
+        self.load(server).add_prefill(demand.id, uncached, now, expected_seconds)
         logs.detail("granted", id=demand.id, shard=self.name, rank=demand.rank)
         permit = messages.Permit(demand.id, server, permit_ms, self.name)
         waiting.replier.send(permit)
@@ -402,7 +402,7 @@
     def _grow(self, item: messages.Outstanding, known: Running, now: float) -> Running:
         if not item.produced:
             return known
-        found = self.load(known.server).start(item.id, now)
+        found = self.load(known.server).finish_prefill(item.id, now)
         if found is not None:
             for observer in self._observers:
                 observer.started(known, found)
@@ -434,7 +434,7 @@
         load = self.load(running.server)
         load.count -= 1
         load.tokens -= running.tokens
-        load.forget(request_id, clock.now())
+        load.remove_prefill(request_id, clock.now())
         for observer in self._observers:
             observer.stopped(running)
 
--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -197,7 +197,7 @@
         self,
         server: fleet_schema.Server,
         seconds: float,
-        now: _ServerState,
+        current: _ServerState,
         is_first: bool,
     ) -> None:
         previous = self._previous.get(server.name)
@@ -205,11 +205,11 @@
             # To an instance that has just started all servers are new.
             if not is_first:
                 self._set_cold(server.name, seconds, "new")
-        elif previous.started_ms != now.started_ms:
+        elif previous.started_ms != current.started_ms:
             self._set_cold(server.name, seconds, "restarted")
-        elif previous.is_evacuated and not now.is_evacuated:
+        elif previous.is_evacuated and not current.is_evacuated:
             self._set_cold(server.name, seconds + REPORT_SECONDS, "evacuated")
-        if now.is_cold and (previous is None or not previous.is_cold):
+        if current.is_cold and (previous is None or not previous.is_cold):
             self._set_cold(server.name, server.cold_ms / 1000.0, "reported")
 
     def _set_cold(self, server: str, seconds: float, cause: str) -> None:
--- a/packages/daemon/cassiaquay_daemon/decisions/speeds.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/speeds.py
@@ -16,7 +16,7 @@
 # The time of shorter prompts is dominated by the duration of one engine step.
 MIN_SAMPLE_TOKENS = 256
 RATE_WEIGHT = 0.3
-# A slower sample must not get less weight than a faster one: the time per token rises
+# Weights of samples slower and faster than the estimate. The time per token rises
 # fivefold while an engine reads a long prompt, and an answer that was started on the
 # assumption that it does not is late.
 SLOWER_WEIGHT = 0.3
--- a/packages/daemon/cassiaquay_daemon/decisions/tiered.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/tiered.py
@@ -81,7 +81,7 @@
         else:
             engine.speed.stalled(seconds)
 
-    def started(self, running: shards.Running, found: loads.Started) -> None:
+    def started(self, running: shards.Running, found: loads.FinishedPrefill) -> None:
         """Update the prefill rate and the limit of tokens in flight."""
         engine = self._engines.get(running.server)
         if engine is None:
@@ -91,8 +91,8 @@
             engine.index.finish_prefill(running.demand.blocks)
         engine.speed.record_sample_time(clock.now())
         # The first event follows one engine step after the prefill.
-        step = min(engine.speed.token_seconds, found.alone_seconds / 2)
-        engine.speed.prefilled(found.tokens, found.alone_seconds - step)
+        step = min(engine.speed.token_seconds, found.head_seconds / 2)
+        engine.speed.prefilled(found.tokens, found.head_seconds - step)
         in_flight = self._shard.tokens_on(running.server)
         engine.speed.started(
             found.expected_seconds, found.seconds, in_flight, clock.now()
@@ -150,7 +150,7 @@
     def serve(self) -> None:
         """Shed demands that cannot be in time, then grant tier by tier."""
         now = clock.now()
-        self._update(now)
+        self._update_engines(now)
         views = self._last_views = self._view_engines(now)
         self._shed_infeasible(views, now)
         self._shed_expired(views, now)
@@ -171,7 +171,7 @@
     def explain(self, demand: messages.Demand) -> list[policies.ServerEstimate]:
         """Return each open server's estimate for a demand, for operators."""
         now = clock.now()
-        self._update(now)
+        self._update_engines(now)
         found = []
         for view in self._view_engines(now):
             choice = placement.choose(demand, view)
@@ -187,7 +187,7 @@
             )
         return found
 
-    def _update(self, now: float) -> None:
+    def _update_engines(self, now: float) -> None:
         start_tokens = self._shard.settings.keeper.start_tokens
         for name, server in self._shard.servers.items():
             engine = self._engines.get(name)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -338,12 +338,12 @@
 
 def test_backlog_counts_a_prompt_until_its_first_event() -> None:
     load = loads.Load()
-    load.begin("one", 1000, 0.0, 0.1)
+    load.add_prefill("one", 1000, 0.0, 0.1)
     assert load.backlog_seconds(10_000.0, 0.05) == pytest.approx(0.05)
     assert load.backlog_seconds(10_000.0, 9.0) == pytest.approx(0.01)
-    found = load.start("one", 0.2)
+    found = load.finish_prefill("one", 0.2)
     assert found is not None
-    assert found.alone_seconds == pytest.approx(0.2)
+    assert found.head_seconds == pytest.approx(0.2)
     assert load.backlog_seconds(10_000.0, 0.2) == 0.0
 
 
--- a/tests/test_servers_health.py
+++ b/tests/test_servers_health.py
@@ -139,7 +139,7 @@
     for _ in range(4):
         found.advanced(10, 1.0)
     assert found.event_seconds > 0.08
-    found.read(6000, 0.5, 0.5)
+    found.prefilled(6000, 0.5, 0.5)
     assert found.rate < 15_000
 
 
