--- a/packages/daemon/cassiaquay_daemon/configured/changes.py
+++ b/packages/daemon/cassiaquay_daemon/configured/changes.py
@@ -26,22 +26,22 @@
 
 def _common_prefix(first: str, second: str) -> int:
     # Binary search: slices are compared in C, single characters in Python.
-    shortest, longest_possible = 0, min(len(first), len(second))
-    while shortest < longest_possible:
-        middle = (shortest + longest_possible + 1) // 2
+    low, high = 0, min(len(first), len(second))
+    while low < high:
+        middle = (low + high + 1) // 2
         if first[:middle] == second[:middle]:
-            shortest = middle
+            low = middle
         else:
-            longest_possible = middle - 1
-    return shortest
+            high = middle - 1
+    return low
 
 
 def _common_suffix(first: str, second: str, longest: int) -> int:
-    shortest, longest_possible = 0, longest
-    while shortest < longest_possible:
-        middle = (shortest + longest_possible + 1) // 2
+    low, high = 0, longest
+    while low < high:
+        middle = (low + high + 1) // 2
         if first[-middle:] == second[-middle:]:
-            shortest = middle
+            low = middle
         else:
-            longest_possible = middle - 1
-    return shortest
+            high = middle - 1
+    return low
