--- a/packages/daemon/cassiaquay_daemon/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The cassiaquay daemon: one entry instance of the request scheduler."""
+"""The cassiaquay daemon: one instance of the request scheduler."""
--- a/packages/daemon/cassiaquay_daemon/clock.py
+++ b/packages/daemon/cassiaquay_daemon/clock.py
@@ -1,4 +1,4 @@
-"""Time as the daemon uses it: seconds that pass also while the machine sleeps."""
+"""The daemon's clock, in seconds; it also runs while the machine is suspended."""
 
 import collections.abc
 import time
@@ -7,10 +7,10 @@
 
 
 def machine() -> float:
-    """Return seconds since the machine started.
+    """Return seconds since the machine booted.
 
-    Unlike ``time.monotonic`` this goes on while the machine is suspended: leases
-    that ran out during the pause are seen as expired on wake-up.
+    Unlike ``time.monotonic`` it counts time in suspension, so that leases that expired
+    meanwhile count as expired after it.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -19,12 +19,12 @@
 
 
 def now() -> float:
-    """Return seconds on the clock that is in use."""
+    """Return seconds on the clock in use."""
     return _source()
 
 
 def use(source: Source) -> Source:
-    """Take time from ``source``, as tests do; return the source used before."""
+    """Replace the clock by ``source``, as tests do; return the previous one."""
     global _source
     before = _source
     _source = source
@@ -32,12 +32,12 @@
 
 
 class Stopwatch:
-    """Milliseconds since it was made."""
+    """Measures the milliseconds since its creation."""
 
     def __init__(self) -> None:
         self._start = now()
 
     @property
     def elapsed_ms(self) -> float:
-        """Milliseconds since the start."""
+        """Milliseconds since the stopwatch was created."""
         return (now() - self._start) * 1000.0
--- a/packages/daemon/cassiaquay_daemon/command.py
+++ b/packages/daemon/cassiaquay_daemon/command.py
@@ -12,14 +12,14 @@
 from . import daemon, early_bind, logs, names, reloading
 from .platform import documents, store
 
-# Imported for what they register.
+# Imported because they register adapters.
 ADAPTERS = (documents, store)
 
 BAD_SETTINGS = 2
 
 
 def serve(settings: str) -> None:
-    """Run one instance until it is told to stop.
+    """Run one instance until it is stopped by a signal or a drain.
 
     Parameters
     ----------
@@ -35,8 +35,8 @@
         raise SystemExit(BAD_SETTINGS) from error
     logs.set_up(found)
 
-    # A full collection goes over every object and stops all streams meanwhile; what was
-    # loaded until here lives as long as the process and need not be looked at.
+    # A full garbage collection stops all streams while it traverses every object.
+    # Objects created by now live as long as the process, so they are excluded.
     gc.collect()
     gc.freeze()
     gc.enable()
@@ -48,12 +48,13 @@
 
 
 def run() -> None:
-    """Read the command line."""
+    """Parse the command line and run the daemon."""
     path = early_bind.settings_path(sys.argv)
     if path:
         serve(path)
         return
-    # Loaded only here: it takes a fifth of a start, and callers wait for that.
+    # Imported only when needed: it takes a fifth of the startup time, during which
+    # callers wait.
     import fire
 
     fire.Fire(serve, name="cassiaquayd")
--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon: its parts, put together, started and shut down in order."""
+"""Assembles the components of one daemon, starts them and shuts them down in order."""
 
 import asyncio
 import collections.abc
@@ -23,24 +23,24 @@
 from .operators import admin, reports
 from .owners import dependencies, gates, owner, recovery, tokens
 
-# Callers that asked for addresses just before the shutdown still come for a moment;
-# they are answered with "not run" and another address instead of a refused connection.
-LINGER_SECONDS = 1.0
-# Servers close idle connections, commonly after 5 s. A dispatch written onto one that
-# closes at that moment may have run or not, and its caller gets `outcome_unknown`.
-# Dropping idle connections well before the servers do makes that rare.
-IDLE_CONNECTION_SECONDS = 2.0
+# Callers that fetched addresses just before the shutdown still connect for a moment.
+# They get "not run" and another address instead of a refused connection.
+LINGER_S = 1.0
+# Servers close idle connections, commonly after 5 s. A request written to a connection
+# that is being closed may or may not have run, and its caller gets `outcome_unknown`.
+# Closing idle connections well before the servers do makes that rare.
+MAX_IDLE_CONNECTION_S = 2.0
 
 
 class Daemon:
-    """All parts of one instance.
+    """All components of one instance.
 
     Parameters
     ----------
     settings : Settings
-        Everything that the process was told.
+        The settings of the process.
     file : Reloading, optional
-        Where changes of the settings come from.
+        Source of changed settings.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._incarnation = tokens.new_incarnation()
         self._http = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
-                limit=0, keepalive_timeout=IDLE_CONNECTION_SECONDS
+                limit=0, keepalive_timeout=MAX_IDLE_CONNECTION_S
             ),
             trace_configs=[backends.tracing()],
             auto_decompress=False,
@@ -94,7 +94,7 @@
             self._incarnation,
             self._http,
             self._demands,
-            self._takes_no_work,
+            self._is_excluded,
             self._better_address,
             gates.Checked(self._dependencies, self._limits),
         )
@@ -107,7 +107,7 @@
         self._texts = platform.configuration_services.get(chosen.configuration_adapter)(
             self._http, chosen.configuration
         )
-        self._servers = self._registered()
+        self._servers = self._create_servers()
         self._quarantine = quarantine.Quarantine(settings)
         self._crashes = crash_reports.CrashReports(
             self._quarantine,
@@ -116,16 +116,16 @@
             settings.gateway.first_start,
         )
         self._owner.heed_crashes(self._crashes)
-        self._gateway = self._passing_through()
+        self._gateway = self._create_gateway()
 
     async def run(self) -> None:
         """Serve until a signal or a drain, then shut down gracefully."""
         settings = self._settings
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stopping.set)
         if self._file is not None:
-            loop.add_signal_handler(signal.SIGHUP, self._file.ask)
+            loop.add_signal_handler(signal.SIGHUP, self._file.request_check)
         await self._peers.start()
         parts = reports.Parts(
             self._configuration,
@@ -137,8 +137,8 @@
             recovery.Recovery(self._http),
             self._quarantine,
         )
-        noted = reports.Reports(settings, parts)
-        callers = web.Web(
+        operator_reports = reports.Reports(settings, parts)
+        caller_interface = web.Web(
             settings,
             self._configuration,
             self._membership,
@@ -147,29 +147,31 @@
             parts.recovering,
             self._pauses,
         )
-        callers.on_refused(noted.refused)
-        operators = admin.Admin(
+        caller_interface.on_refused(operator_reports.refused)
+        admin_interface = admin.Admin(
             settings,
             self._incarnation,
             parts,
-            noted,
+            operator_reports,
             self._http,
             self._stopping.set,
         )
-        bound = [self._listen(operators.application(), settings.admin_port)]
+        bound = [self._listen(admin_interface.application(), settings.admin_port)]
         admin_socket = bound[0][1]
         if self._gateway is not None:
             self._membership.http_address = settings.gateway.front
-            self._gateway.accounting.on_ended(noted.passed)
-            self._gateway.accounting.on_refused(noted.refused)
+            self._gateway.accounting.on_ended(operator_reports.passed)
+            self._gateway.accounting.on_refused(operator_reports.refused)
             self._gateway.start()
         else:
-            bound.append(self._listen(callers.application(), settings.http_port))
+            bound.append(
+                self._listen(caller_interface.application(), settings.http_port)
+            )
             self._membership.http_address = _address(bound[1][1])
         early_bind.close_unclaimed()
         self._membership.admin_address = _address(admin_socket)
-        tasks = [asyncio.create_task(work) for work in self._work()]
-        tasks.append(asyncio.create_task(noted.watch_lag()))
+        tasks = [asyncio.create_task(work) for work in self._background_work()]
+        tasks.append(asyncio.create_task(operator_reports.watch_lag()))
         serving = []
         for server, listening in bound:
             serving.append(asyncio.create_task(server.serve([listening])))
@@ -183,7 +185,7 @@
         await self._stopping.wait()
         await self._shut_down([server for server, _ in bound], serving, tasks)
 
-    def _work(self) -> list[collections.abc.Coroutine[None, None, None]]:
+    def _background_work(self) -> list[collections.abc.Coroutine[None, None, None]]:
         chosen = self._settings.platform
         listing = platform.instance_lists.get(chosen.instances_adapter)
         instances = listing(self._http, chosen.instances)
@@ -199,7 +201,7 @@
         )
         renewing.start()
         work = [
-            self._pauses.tick(),
+            self._pauses.check_periodically(),
             renewing.run(),
             self._membership.send_heartbeats(),
             self._keeper.tick(),
@@ -244,7 +246,7 @@
         else:
             self._membership.announce_leaving()
             await self._owner.leave()
-            await asyncio.sleep(LINGER_SECONDS)
+            await asyncio.sleep(LINGER_S)
         for server in listening:
             server.should_exit = True
         await asyncio.gather(*serving, return_exceptions=True)
@@ -261,7 +263,7 @@
         bound = socket.create_server((self._settings.host, port), backlog=512)
         return listeners.server(application), bound
 
-    def _registered(self) -> servers.Servers | None:
+    def _create_servers(self) -> servers.Servers | None:
         chosen = self._settings.platform
         if not chosen.servers:
             return None
@@ -277,7 +279,7 @@
         self._membership.servers_state = lambda: found.state
         return found
 
-    def _passing_through(self) -> service.Gateway | None:
+    def _create_gateway(self) -> service.Gateway | None:
         if not self._settings.gateway.front or self._servers is None:
             return None
         shared = service.Shared(
@@ -304,8 +306,8 @@
                 return one["address"]
         return ""
 
-    def _takes_no_work(self, server: str) -> bool:
-        """Tell whether a backend server leaves or is evacuated."""
+    def _is_excluded(self, server: str) -> bool:
+        """Return whether a backend server is leaving or evacuated."""
         snapshot = self._configuration.current
         if snapshot is not None and server in snapshot.evacuated_names:
             return True
--- a/packages/daemon/cassiaquay_daemon/early_bind.py
+++ b/packages/daemon/cassiaquay_daemon/early_bind.py
@@ -1,11 +1,11 @@
-"""Listening sockets that are there before the modules are loaded.
+"""Opens the listening sockets before the daemon's modules are imported.
 
-Load pattern: all instances are killed at once and start again together. Loading the
-modules takes most of a start; callers that connect meanwhile would be refused by every
-instance, use up their retries within half a second and go away. A socket that listens
-from the first moment lets them wait for the little that is left of the start.
+When all instances are killed and restart together, importing the modules takes most of
+the startup time. Callers that connect meanwhile would be refused by every instance and
+use up their retries within half a second. With a socket that listens from the beginning
+they wait in its backlog until the process has started.
 
-Imports little on purpose: what is imported here delays the sockets.
+This module imports little, because each import delays the sockets.
 """
 
 import contextlib
@@ -13,19 +13,19 @@
 import socket
 import tomllib
 
-# Callers that may wait for one start.
+# Number of callers that may wait during one start.
 BACKLOG = 1024
 SETTINGS_FLAG = "--settings"
-# Where settings name addresses that callers and other instances connect to.
+# Gateway settings whose values are addresses to listen on.
 GATEWAY_KEYS = ("front", "ready", "directory")
 
-_held: dict[str, socket.socket] = {}
+_unclaimed: dict[str, socket.socket] = {}
 
 
 def settings_path(arguments: list[str]) -> str:
-    """Return the settings file of a command line as service managers write it.
+    """Return the settings path of a command line ``cassiaquayd --settings PATH``.
 
-    Empty for any other; the command line's library understands more.
+    Empty for any other form; the command-line library parses those later.
     """
     if len(arguments) == 3 and arguments[1] == SETTINGS_FLAG:
         return arguments[2]
@@ -33,26 +33,26 @@
 
 
 def listen_all(path: str) -> None:
-    """Listen on all addresses that a settings file names.
+    """Listen on all addresses in a settings file.
 
-    A file that cannot be read is left for the command to complain about, and an address
-    that cannot be bound for whoever asks for its socket.
+    Errors are ignored here: the command reports an unreadable file, and :func:`take` an
+    address that cannot be bound.
     """
     with contextlib.suppress(OSError, ValueError, AttributeError):
         for address in _addresses(pathlib.Path(path).read_text()):
-            _held[address] = _bind(address)
+            _unclaimed[address] = _bind(address)
 
 
 def take(address: str) -> socket.socket:
-    """Return the listening socket of an address, a new one when there is none."""
-    bound = _held.pop(address, None)
+    """Return the listening socket of an address; open one if there is none."""
+    bound = _unclaimed.pop(address, None)
     return bound if bound is not None else _bind(address)
 
 
 def close_unclaimed() -> None:
-    """Close the sockets that nobody took: callers there would wait for nothing."""
-    while _held:
-        _held.popitem()[1].close()
+    """Close the sockets that were not taken, as callers there would never be served."""
+    while _unclaimed:
+        _unclaimed.popitem()[1].close()
 
 
 def _addresses(text: str) -> list[str]:
--- a/packages/daemon/cassiaquay_daemon/links/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/links/__init__.py
@@ -1,5 +1,5 @@
 """Connections between instances: framed msgpack messages over streams.
 
-Every room that talks to other instances sends and receives through here. It must not
-know what a message is for: it delivers each to whoever asked for its type.
+Every package that exchanges messages with other instances does so through this one. It
+must not depend on their meaning: each goes to the handler registered for its type.
 """
--- a/packages/daemon/cassiaquay_daemon/links/frames.py
+++ b/packages/daemon/cassiaquay_daemon/links/frames.py
@@ -1,4 +1,4 @@
-"""Frames between instances: msgpack arrays of a message's code and fields."""
+"""Wire encoding of messages: a msgpack array of the message's code and its fields."""
 
 import typing
 
@@ -19,18 +19,18 @@
 
 
 class Decoder:
-    """Turn the bytes of one connection into messages."""
+    """Decodes the bytes of one connection into messages."""
 
     def __init__(self) -> None:
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES)
 
     def feed(self, data: bytes) -> list[messages.Message]:
-        """Return the messages that ``data`` completes.
+        """Return the messages completed by ``data``.
 
         Raises
         ------
         InvalidFrame
-            When the bytes are no message; the connection is of no use after that.
+            When the bytes are not a message; the connection must then be closed.
         """
         found = []
         try:
@@ -40,8 +40,8 @@
         except exceptions.InvalidFrame:
             raise
         except Exception as error:
-            # msgpack raises a dozen kinds for bad bytes; whichever it is, a peer
-            # that sends garbage may only lose its own connection.
+            # msgpack raises a dozen exception types for malformed bytes. Whatever a
+            # peer sends, only its own connection may be closed.
             raise exceptions.InvalidFrame(str(error)) from error
         return found
 
--- a/packages/daemon/cassiaquay_daemon/links/peers.py
+++ b/packages/daemon/cassiaquay_daemon/links/peers.py
@@ -1,7 +1,7 @@
 """Connections between instances: dialled when needed, authenticated, one task each.
 
-A connection carries frames both ways. Whoever dials sends first. Nothing is taken from
-a peer before it has proved that it knows a shared key.
+A connection carries frames both ways, starting with a handshake. No other message of a
+peer is processed before it has proved that it has a shared key.
 """
 
 import asyncio
@@ -25,12 +25,13 @@
 HANDSHAKE_SECONDS = 3.0
 DIAL_SECONDS = 2.0
 REDIAL_SECONDS = 0.2
-# Neighbours and keepers change; a link that nobody asked for in this long is closed.
+# Neighbours and keepers change; a link not requested for this long is closed.
 IDLE_SECONDS = 30.0
+# Prefix of the name under which a seed address is dialled.
 SEED = "seed "
 READ_BYTES = 65536
-# A peer that does not read (paused, cut off) must not make this process grow: past
-# this many unsent bytes its connection is closed, and state is sent anew on the next.
+# A peer that does not read (paused, cut off) must not exhaust this process's memory:
+# beyond this many unsent bytes its connection is aborted. State is resent on the next.
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
 
 Handler = collections.abc.Callable[["Link", typing.Any], None]
@@ -65,11 +66,11 @@
 
     @property
     def closing(self) -> bool:
-        """Whether nothing can be sent any more."""
+        """Whether the connection is closed or closing."""
         return self._writer.is_closing()
 
     def send(self, message: messages.Message) -> bool:
-        """Queue a message for sending; return False when the link is closed."""
+        """Queue a message; return False when the link is closed or not being read."""
         if self._writer.is_closing():
             return False
         transport = self._writer.transport
@@ -83,7 +84,7 @@
         return True
 
     async def receive(self) -> list[messages.Message]:
-        """Return the next messages; an empty list says that the link is closed."""
+        """Return the next messages; an empty list means that the link is closed."""
         while not self._ready:
             data = await self._reader.read(READ_BYTES)
             if not data:
@@ -108,14 +109,14 @@
 
 
 class Peers:
-    """All connections of this instance to others.
+    """All connections of this instance to other instances.
 
     Parameters
     ----------
     settings : Settings
         Names, keys and addresses of this process.
     incarnation : str
-        This life of the process.
+        Identifies this run of the process.
     """
 
     def __init__(self, settings: settings_schema.Settings, incarnation: str):
@@ -130,17 +131,17 @@
         self._dialled: dict[str, Link] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._addresses: dict[str, str] = {}
-        self._used_at: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
         self._failed_at: dict[str, float] = {}
         self._accepted: set[Link] = set()
         self._server: asyncio.Server | None = None
 
     def open_links(self) -> list[Link]:
-        """Return the links that are up, dialled or accepted."""
+        """Return the open links, dialled and accepted."""
         return [*self._dialled.values(), *self._accepted]
 
     def on(self, kind: type, handler: Handler) -> None:
-        """Let ``handler`` have the messages of one kind."""
+        """Register the handler of one message type."""
         self._handlers[kind] = handler
 
     def on_up(self, call: collections.abc.Callable[[Link], None]) -> None:
@@ -154,9 +155,9 @@
     async def start(self) -> None:
         """Listen for peers."""
         settings = self._settings
-        where = settings.peer_listen or f"{settings.host}:{settings.peer_port}"
+        address = settings.peer_listen or f"{settings.host}:{settings.peer_port}"
         self._server = await asyncio.start_server(
-            self._accept, sock=early_bind.take(where)
+            self._accept, sock=early_bind.take(address)
         )
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -174,7 +175,7 @@
     def link(self, instance: str, address: str) -> Link | None:
         """Return the link dialled to an instance; start dialling when there is none."""
         self._addresses[instance] = address
-        self._used_at[instance] = clock.now()
+        self._requested_at[instance] = clock.now()
         link = self._dialled.get(instance)
         if link is not None and not link.closing:
             return link
@@ -184,16 +185,16 @@
         return None
 
     def failed_since(self, instance: str, at: float) -> bool:
-        """Tell whether dialling an instance has failed since a time on this clock."""
+        """Return whether dialling failed since ``at``, a time on the local clock."""
         return self._failed_at.get(instance, at - 1.0) >= at
 
     def close_idle(self) -> None:
-        """Close the links that were not asked for lately."""
+        """Close the dialled links that were not requested recently."""
         horizon = clock.now() - IDLE_SECONDS
-        for instance, used_at in list(self._used_at.items()):
-            if used_at >= horizon:
+        for instance, requested_at in list(self._requested_at.items()):
+            if requested_at >= horizon:
                 continue
-            del self._used_at[instance]
+            del self._requested_at[instance]
             self._addresses.pop(instance, None)
             self._failed_at.pop(instance, None)
             task = self._tasks.pop(instance, None)
@@ -203,8 +204,8 @@
     async def _dial(self, instance: str) -> None:
         host, _, port = self._addresses[instance].rpartition(":")
         try:
-            # Not `wait_for`: in Python 3.11 it loses a cancellation that comes with
-            # its result, and the shutdown would wait for this task for ever.
+            # Not `wait_for`: in Python 3.11 it loses a cancellation that arrives
+            # together with its result, and the shutdown would hang on this task.
             async with asyncio.timeout(DIAL_SECONDS):
                 reader, writer = await asyncio.open_connection(host, int(port))
         except (TimeoutError, OSError, ValueError):
@@ -214,14 +215,14 @@
         link = Link(reader, writer, dialled=True)
         try:
             async with asyncio.timeout(HANDSHAKE_SECONDS):
-                await self._prove(link, True)
+                await self._authenticate(link, True)
             if link.instance != instance and not instance.startswith(SEED):
-                # Its address belongs to another one now.
+                # Another instance now has this address.
                 raise exceptions.PeerAuthenticationFailed(
                     f"{link.instance} answers for {instance}"
                 )
             self._dialled[link.instance] = link
-            # A seed is asked for by its address, as long as its name is not known.
+            # A seed is requested by its address until its name is known.
             self._dialled[instance] = link
             for call in self._on_up:
                 call(link)
@@ -240,10 +241,10 @@
         self._accepted.add(link)
         try:
             async with asyncio.timeout(HANDSHAKE_SECONDS):
-                await self._prove(link, False)
+                await self._authenticate(link, False)
             await self._read(link)
         except exceptions.PeerError as error:
-            # Only this connection ends: a faulty peer must not disturb the others.
+            # Close only this connection: a faulty peer must not affect other links.
             logs.trouble("peer_refused", code=error.code, cause=str(error))
         except (TimeoutError, OSError) as error:
             logs.detail("peer_lost", peer=link.instance, cause=repr(error))
@@ -251,9 +252,9 @@
             self._accepted.discard(link)
             self._close(link)
 
-    async def _prove(self, link: Link, dialled: bool) -> None:
-        # The MAC names the side that made it: without that, an intruder could send
-        # this instance's own proof, got on a second connection, back to it.
+    async def _authenticate(self, link: Link, dialled: bool) -> None:
+        # The MAC covers the role of its sender: otherwise an attacker could reflect
+        # this instance's own proof, obtained over a second connection, back to it.
         ours, theirs = (DIALLED, ACCEPTED) if dialled else (ACCEPTED, DIALLED)
         nonce = secrets.token_bytes(NONCE_BYTES)
         settings = self._settings
@@ -275,8 +276,8 @@
         if not isinstance(proof, messages.Proof):
             raise exceptions.PeerAuthenticationFailed("no proof")
         if hello.instance == settings.instance:
-            # This process itself, by way of a seed, or a second one of its name:
-            # either would be taken for a peer that agrees with everything.
+            # This process reached itself through a seed, or another process has the
+            # same name; either would count as a peer that confirms every message.
             raise exceptions.PeerAuthenticationFailed(
                 "a peer has the name of this instance"
             )
--- a/packages/daemon/cassiaquay_daemon/listeners.py
+++ b/packages/daemon/cassiaquay_daemon/listeners.py
@@ -1,4 +1,4 @@
-"""HTTP servers as every listener of the daemon runs them."""
+"""HTTP servers, configured alike for every listener of the daemon."""
 
 import asyncio
 import collections.abc
@@ -11,15 +11,15 @@
 Application = typing.Any
 KEEP_ALIVE_SECONDS = 5
 
-# The library reports with a stack trace each answer that is broken off on purpose.
+# The library logs a stack trace for each response that is aborted on purpose.
 logging.getLogger("uvicorn.error").disabled = True
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves signals to the daemon and sleeps until it is told to end.
+    """A server without signal handlers, whose main loop waits for an exit event.
 
-    The library's own loop looks ten times a second whether it should end. Four idle
-    listeners took a fifth of all wake-ups of an idle daemon.
+    The library's main loop polls for the exit ten times a second, which for four idle
+    listeners was a fifth of all wake-ups of an idle daemon.
     """
 
     def __init__(self, config: uvicorn.Config):
@@ -28,7 +28,7 @@
 
     @property
     def should_exit(self) -> bool:
-        """Whether it has been told to end."""
+        """Whether the server has been asked to exit."""
         return self._exit.is_set()
 
     @should_exit.setter
@@ -37,27 +37,27 @@
             self._exit.set()
 
     async def main_loop(self) -> None:
-        """Serve until told to end."""
+        """Wait until the server is asked to exit."""
         await self.on_tick(0)
         await self._exit.wait()
 
     @contextlib.contextmanager
     def capture_signals(self) -> collections.abc.Iterator[None]:
-        """Capture none."""
+        """Leave signal handling to the daemon."""
         yield
 
 
 def server(
     application: Application, idle_seconds: int = KEEP_ALIVE_SECONDS
 ) -> uvicorn.Server:
-    """Return a server for an ASGI application; it listens once given sockets.
+    """Return a server for an ASGI application; ``serve`` is given its sockets.
 
     Parameters
     ----------
     application
         The ASGI application.
     idle_seconds : int
-        How long a connection without a request is kept.
+        How long an idle keep-alive connection stays open.
     """
     config = uvicorn.Config(
         application,
--- a/packages/daemon/cassiaquay_daemon/log_writer.py
+++ b/packages/daemon/cassiaquay_daemon/log_writer.py
@@ -1,9 +1,9 @@
-"""Writes log lines without ever holding the process up, and not without bound.
+"""Log handler that never blocks the event loop and buffers a bounded number of lines.
 
-A reader of standard output that falls behind blocks whoever writes to it; one slow disk
-at the log collector would stop all requests of the instance. A thread of its own writes
-what has gathered; what does not fit is counted and told of. Writing in batches also
-saves a system call for each line.
+A slow reader of standard output blocks the process that writes to it: a slow disk at
+the log collector would stop all requests of the instance. A separate thread therefore
+writes the buffered lines, in batches to save system calls. Lines that exceed the limits
+are dropped, and their number is logged.
 """
 
 import collections
@@ -13,59 +13,62 @@
 import threading
 import time
 
-# How long lines gather. What a killed process loses of its log.
-GATHER_SECONDS = 0.1
-# Lines that wait for the reader: some seconds at full load, and 4 MB at the most.
-MOST_WAITING = 10_000
-# Lines a second: ten for each of 200 requests, far above one instance's share.
-MOST_A_SECOND = 2000
+# Interval between writes, and thus what a killed process loses of its log.
+WRITE_INTERVAL_S = 0.1
+# Buffered lines: some seconds at full load, and 4 MB at most.
+MAX_BUFFERED_LINES = 10_000
+# Ten lines for each of 200 requests a second, far above one instance's share.
+MAX_LINES_PER_SECOND = 2000
 
 
 class Writer(logging.Handler):
-    """A handler that hands lines to a writing thread.
+    """A handler that passes lines to a writer thread.
 
     Parameters
     ----------
     descriptor : int, optional
-        Where to write; standard output by default.
+        File descriptor to write to; standard output by default.
     """
 
     def __init__(self, descriptor: int | None = None):
         super().__init__()
         self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
         self._lines: collections.deque[str] = collections.deque()
-        self._left_out = 0
+        self._dropped = 0
         self._second = 0
-        self._count = 0
+        self._count_in_second = 0
         self._thread: threading.Thread | None = None
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Start writing."""
+        """Start the writer thread."""
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take in a line; leave it out when too many are waiting."""
+        """Buffer a line; drop it above the limits on rate or buffered lines."""
         second = int(time.monotonic())
         if second != self._second:
-            self._second, self._count = second, 0
-        self._count += 1
-        flooded = self._count > MOST_A_SECOND and record.levelno < logging.WARNING
-        if flooded or len(self._lines) >= MOST_WAITING:
-            self._left_out += 1
+            self._second, self._count_in_second = second, 0
+        self._count_in_second += 1
+        is_over_rate = (
+            self._count_in_second > MAX_LINES_PER_SECOND
+            and record.levelno < logging.WARNING
+        )
+        if is_over_rate or len(self._lines) >= MAX_BUFFERED_LINES:
+            self._dropped += 1
             return
         self._lines.append(self.format(record))
 
     def flush(self) -> None:
-        """Write what has gathered; blocks as long as the reader does."""
+        """Write the buffered lines; blocks while the reader does not read."""
         lines = []
         while self._lines:
             lines.append(self._lines.popleft())
-        if self._left_out:
-            left_out, self._left_out = self._left_out, 0
+        if self._dropped:
+            dropped, self._dropped = self._dropped, 0
             lines.append(f"at={time.time()} level=WARNING event=log_lines_left_out ")
-            lines[-1] += f"count={left_out}"
+            lines[-1] += f"count={dropped}"
         if not lines:
             return
         data = ("\n".join(lines) + "\n").encode()
@@ -73,11 +76,11 @@
             while data:
                 data = data[os.write(self._descriptor, data) :]
         except OSError:
-            # The reader has gone; there is nobody to tell.
+            # The reader has closed the pipe, so there is nowhere to report this.
             self._lines.clear()
 
     def close(self) -> None:
-        """Write the rest and stop."""
+        """Write the remaining lines and stop the thread."""
         self._stopping.set()
         if self._thread is not None:
             self._thread.join(1.0)
@@ -85,6 +88,6 @@
         super().close()
 
     def _run(self) -> None:
-        while not self._stopping.wait(GATHER_SECONDS):
+        while not self._stopping.wait(WRITE_INTERVAL_S):
             self.flush()
         self.flush()
--- a/packages/daemon/cassiaquay_daemon/logs.py
+++ b/packages/daemon/cassiaquay_daemon/logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one event a line, as key=value pairs or JSON."""
+"""Structured logging: one event per line, as key=value pairs or JSON."""
 
 import logging
 import typing
@@ -12,8 +12,8 @@
 
 _LOGGER = logging.getLogger("cassiaquay")
 
-# No line shows these; collecting them took a third of the time of a line. See
-# "Optimization" in the logging how-to of the Python documentation.
+# No line contains these fields, and collecting them took a third of the time of a log
+# call. See "Optimization" in the logging how-to of the Python documentation.
 logging._srcfile = None
 logging.logThreads = False
 logging.logProcesses = False
@@ -25,7 +25,7 @@
 
 
 class PairsFormatter(json_logger.MsgspecFormatter):
-    """Collect the fields as the JSON formatter does; write key=value pairs."""
+    """Formats the fields that the JSON formatter collects as key=value pairs."""
 
     def jsonify_log_record(self, log_data: dict[str, typing.Any]) -> str:
         """Return one line; values with blanks, quotes or '=' are quoted as JSON."""
@@ -41,7 +41,7 @@
 
 
 def set_up(settings: settings_schema.Settings) -> None:
-    """Send the log to standard output in the form that the settings ask for."""
+    """Log to standard output in the format and at the level of the settings."""
     kind = (
         PairsFormatter
         if settings.logs.format == "pairs"
@@ -66,25 +66,25 @@
 
 
 def adopt(settings: settings_schema.Settings) -> None:
-    """Take in changed settings: the level."""
+    """Apply changed settings; only the log level can change at run time."""
     _LOGGER.setLevel(settings.logs.level)
 
 
 def event(name: str, **fields: typing.Any) -> None:
-    """Write one event with its fields at the level INFO."""
+    """Log an event with its fields at level INFO."""
     _LOGGER.info(name, extra=fields)
 
 
 def trouble(name: str, **fields: typing.Any) -> None:
-    """Write one event that an operator should look at, at the level WARNING."""
+    """Log an event that needs an operator's attention, at level WARNING."""
     _LOGGER.warning(name, extra=fields)
 
 
 def detail(name: str, **fields: typing.Any) -> None:
-    """Write one event at the level DEBUG."""
+    """Log an event at level DEBUG."""
     _LOGGER.debug(name, extra=fields)
 
 
 def also(handler: logging.Handler) -> None:
-    """Give each event to one more handler."""
+    """Add a handler that also receives each event."""
     _LOGGER.addHandler(handler)
--- a/packages/daemon/cassiaquay_daemon/main.py
+++ b/packages/daemon/cassiaquay_daemon/main.py
@@ -1,4 +1,4 @@
-"""Entry point of a daemon; everything else is imported once signals are harmless."""
+"""Entry point of a daemon; other modules are imported once SIGHUP is ignored."""
 
 import gc
 import importlib
@@ -9,25 +9,24 @@
 from . import early_bind
 
 # Variables from which OpenSSL takes the certificate store.
-CERTIFICATES = ("SSL_CERT_FILE", "SSL_CERT_DIR")
+CERTIFICATE_VARIABLES = ("SSL_CERT_FILE", "SSL_CERT_DIR")
 
 
 def run() -> None:
     """Run the daemon's command line."""
-    # Loading the modules takes a third of a second, and a reload asked for meanwhile
-    # would end the process before its own handler is there. Nothing is missed by
-    # ignoring it: the settings file is read after the modules.
+    # Importing the modules takes a third of a second. A SIGHUP (reload) meanwhile would
+    # kill the process, as its handler is not installed yet. It can be ignored: the
+    # settings file is read after the imports.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = early_bind.settings_path(sys.argv)
     if path:
         early_bind.listen_all(path)
-    # What the modules create stays; looking for garbage among it takes a sixth of the
-    # time that they take to load. The command starts collections again.
+    # Objects created by imports persist, and garbage collections would take a sixth of
+    # the import time. The command enables collections again.
     gc.disable()
-    # The HTTP client's library loads the machine's certificate store when it is
-    # imported: 80 of 430 ms of processor time at each start (`time` of the import, with
-    # and without). All connections here are without TLS.
-    for name in CERTIFICATES:
+    # The HTTP client library loads the machine's certificate store when it is imported,
+    # which takes 80 of the 430 ms of CPU time of a start. No connection uses TLS.
+    for name in CERTIFICATE_VARIABLES:
         os.environ.setdefault(name, os.devnull)
     importlib.import_module("cassiaquay_daemon.command").run()
 
--- a/packages/daemon/cassiaquay_daemon/names.py
+++ b/packages/daemon/cassiaquay_daemon/names.py
@@ -1,4 +1,4 @@
-"""Names of registered behaviour in settings: known, or refused before the start."""
+"""Checks the names of registered policies and adapters in settings before the start."""
 
 from cassiaquay_schema import exceptions, settings
 
@@ -7,7 +7,7 @@
 
 
 def check_settings(found: settings.Settings) -> None:
-    """Raise NameFault when the settings name something that is not registered."""
+    """Raise NameFault when the settings contain a name that is not registered."""
     check(policies.policies.names(), found.keeper.policy, "keeper.policy")
     check(
         platform.configuration_services.names(),
@@ -22,7 +22,7 @@
 
 
 def check(known: list[str], name: str, place: str) -> None:
-    """Raise NameFault when ``name`` is none of the known ones."""
+    """Raise NameFault when ``name`` is not in ``known``."""
     if name in known:
         return
     raise exceptions.NameFault(
--- a/packages/daemon/cassiaquay_daemon/pause.py
+++ b/packages/daemon/cassiaquay_daemon/pause.py
@@ -1,8 +1,8 @@
-"""Notices that this process did not run for a while, and holds it back after that.
+"""Detects pauses of this process and stops it from acting on stale state after them.
 
-Nothing tells a process that it was stopped. Its timers fire late and in any order, so
-each place that acts on what may be stale asks here first, by the clock that goes on
-during a pause.
+A process gets no notice that it was suspended. Its timers fire late and in any order,
+so code that acts on possibly stale state checks here first. Pauses are measured on a
+clock that also runs during a pause.
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 
 from . import clock, logs
 
-TICK_SECONDS = 0.1
+CHECK_INTERVAL_S = 0.1
 
 
 def shortest_lease(settings: settings_schema.Settings) -> float:
-    """Return the longest pause, in seconds, after which nothing has run out yet."""
+    """Return the longest pause, in seconds, during which no lease or permit expires."""
     keeper = settings.keeper
     return min(
         keeper.permit_ms / 1000.0,
@@ -26,12 +26,12 @@
 
 
 class Pauses:
-    """Whether this process may act on what it knows.
+    """Whether this process may act on its state.
 
     Parameters
     ----------
     limit : float
-        Seconds; a gap longer than this is a pause in which leases ran out.
+        Seconds; leases may have expired during a pause longer than this.
     now : callable
         The clock.
     """
@@ -42,23 +42,23 @@
         self.count = 0
         self._limit = limit
         self._now = now
-        self._seen_at = now()
+        self._checked_at = now()
         self._current = asyncio.Event()
         self._current.set()
-        self._on_overslept: list[collections.abc.Callable[[], None]] = []
+        self._on_resume: list[collections.abc.Callable[[], None]] = []
 
     @property
     def current(self) -> bool:
-        """Whether this instance may grant, dispatch and name addresses now."""
+        """Whether this instance may grant permits, dispatch and hand out addresses."""
         self._check()
         return self._current.is_set()
 
     def on_resume(self, call: collections.abc.Callable[[], None]) -> None:
-        """Call ``call`` when a pause is noticed."""
-        self._on_overslept.append(call)
+        """Call ``call`` after each pause, as soon as it is detected."""
+        self._on_resume.append(call)
 
     def hold(self) -> None:
-        """Hold this instance back until :meth:`release` is called."""
+        """Stop this instance from acting until :meth:`release` is called."""
         self._current.clear()
 
     def release(self) -> None:
@@ -67,7 +67,7 @@
         self._current.set()
 
     async def wait(self, seconds: float) -> bool:
-        """Wait until this instance may act, at most ``seconds``; return whether."""
+        """Wait until this instance may act, at most ``seconds``; return if it may."""
         if self.current:
             return True
         try:
@@ -77,23 +77,23 @@
             return False
         return True
 
-    async def tick(self) -> None:
-        """Look at the clock for ever."""
+    async def check_periodically(self) -> None:
+        """Check for pauses periodically until cancelled."""
         while True:
             self._check()
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _check(self) -> None:
         now = self._now()
-        gap = now - self._seen_at
-        self._seen_at = now
+        gap = now - self._checked_at
+        self._checked_at = now
         if gap <= self._limit:
             return
-        # Permits, leases and the view of the others are of before the pause. Acting
-        # on them would put work on engines that others have filled meanwhile, and
-        # send callers to the dead; asking anew first costs a round trip.
+        # Permits, leases and the membership view date from before the pause. Acting on
+        # them would send requests to engines that other instances have filled meanwhile
+        # and callers to failed instances; a refresh costs only a round trip.
         self.count += 1
         self._current.clear()
         logs.trouble("overslept", seconds=round(gap, 3))
-        for call in self._on_overslept:
+        for call in self._on_resume:
             call()
--- a/packages/daemon/cassiaquay_daemon/reloading.py
+++ b/packages/daemon/cassiaquay_daemon/reloading.py
@@ -1,7 +1,7 @@
-"""Changes of the settings file, with or without a signal, taken in while serving.
+"""Applies changes of the settings file while serving, on SIGHUP or by polling.
 
-Nothing is cut off: parts that look at their settings each time get the new ones. What
-is fixed when a process starts, such as addresses, keeps its value until the next start.
+No request is interrupted: components registered for changes get the new settings.
+Settings that are fixed at startup, such as addresses, keep their value until a restart.
 """
 
 import asyncio
@@ -14,9 +14,9 @@
 
 from . import logs, names
 
-# A changed file is noticed within this time when nobody sends a signal.
-LOOK_SECONDS = 2.0
-FIXED = ("instance", "domain", "host", "peer_listen", "admin_port", "platform")
+# Polling interval of the settings file, for changes without a signal.
+POLL_INTERVAL_S = 2.0
+RESTART_ONLY = ("instance", "domain", "host", "peer_listen", "admin_port", "platform")
 
 Adopt = collections.abc.Callable[[settings_schema.Settings], None]
 
@@ -29,38 +29,38 @@
     path : Path
         The file.
     settings : Settings
-        As read at the start.
+        The settings read at startup.
     """
 
     def __init__(self, path: pathlib.Path, settings: settings_schema.Settings):
         self._path = path
         self._settings = settings
         self._text = ""
-        self._asked = asyncio.Event()
+        self._check_requested = asyncio.Event()
         self._adopters: list[Adopt] = []
 
     def on_change(self, adopt: Adopt) -> None:
-        """Call ``adopt`` with settings that have changed."""
+        """Call ``adopt`` with the settings after each change."""
         self._adopters.append(adopt)
 
-    def ask(self) -> None:
-        """Look at the file now, as a signal asks."""
+    def request_check(self) -> None:
+        """Request a check of the file now, as the signal handler does."""
         logs.event("reload_asked")
-        self._asked.set()
+        self._check_requested.set()
 
     async def run(self) -> None:
-        """Look at the file for ever."""
+        """Check the file periodically and on request until cancelled."""
         while True:
-            self.look()
+            self.reload_if_changed()
             try:
-                async with asyncio.timeout(LOOK_SECONDS):
-                    await self._asked.wait()
+                async with asyncio.timeout(POLL_INTERVAL_S):
+                    await self._check_requested.wait()
             except TimeoutError:
                 continue
-            self._asked.clear()
+            self._check_requested.clear()
 
-    def look(self) -> None:
-        """Take the file in when it has changed; keep the old settings when unsound."""
+    def reload_if_changed(self) -> None:
+        """Apply the file if it has changed; keep the old settings if it is invalid."""
         try:
             text = self._path.read_text()
         except (OSError, UnicodeDecodeError) as error:
@@ -73,13 +73,13 @@
             found = texts.read_settings(text)
             names.check_settings(found)
         except schema_exceptions.SchemaError as error:
-            # A half-written file must not stop a process that serves.
+            # A half-written file must not stop a serving process.
             logs.trouble("settings_rejected", cause=str(error))
             return
         if found == self._settings:
             return
         fixed = []
-        for name in FIXED:
+        for name in RESTART_ONLY:
             if getattr(found, name) != getattr(self._settings, name):
                 fixed.append(name)
         logs.event("settings_changed", need_restart=",".join(fixed) or None)
--- a/packages/daemon/cassiaquay_daemon/rendezvous.py
+++ b/packages/daemon/cassiaquay_daemon/rendezvous.py
@@ -1,16 +1,16 @@
-"""Rendezvous hashing: everyone who knows the same names ranks them alike."""
+"""Rendezvous hashing: instances with the same set of names rank them identically."""
 
 import collections.abc
 import math
 
 import xxhash
 
-# Scores are whole numbers below this.
+# Scores are integers below this.
 SCORES = 2.0**64
 
 
 def score(key: str, name: str) -> int:
-    """Return the weight of ``name`` for ``key``."""
+    """Return the hash score of ``name`` for ``key``."""
     return xxhash.xxh3_64_intdigest(f"{key}/{name}".encode())
 
 
@@ -25,11 +25,11 @@
 
 
 def weighted(key: str, weights: dict[str, float]) -> str:
-    """Return the name responsible for ``key``, each as often as its weight says."""
+    """Return the name responsible for ``key``; shares are proportional to weights."""
 
     def value(name: str) -> float:
-        # The logarithm of a uniform number over the weight: the usual weighted form,
-        # in which a change of one weight moves only what that name gains or loses.
+        # Weighted rendezvous hashing: log(u) / weight for a uniform u in (0, 1]. A new
+        # weight moves only the keys that its name gains or loses.
         return math.log((score(key, name) + 1.0) / SCORES) / weights[name]
 
     return max(sorted(weights), key=value)
--- a/packages/dev/cassiaquay_dev/lab/instances.py
+++ b/packages/dev/cassiaquay_dev/lab/instances.py
@@ -73,7 +73,7 @@
     def start(self) -> None:
         """Run its periodic jobs."""
         jobs = (
-            self.pauses.tick(),
+            self.pauses.check_periodically(),
             self.keeper.tick(),
             self.demands.renew(),
             self.demands.report(),
--- a/packages/dev/cassiaquay_dev/sizing/light.py
+++ b/packages/dev/cassiaquay_dev/sizing/light.py
@@ -93,8 +93,8 @@
         links = {*self._accepted, *self._dialled.values()}
         return self.closed_sent_bytes + sum(link.sent_bytes for link in links)
 
-    async def _prove(self, link: peers.Link, dialled: bool) -> None:
-        await super()._prove(link, dialled)
+    async def _authenticate(self, link: peers.Link, dialled: bool) -> None:
+        await super()._authenticate(link, dialled)
         if link.instance in self.cut:
             raise exceptions.PeerError("cut off")
 
@@ -166,7 +166,7 @@
         """Begin as a daemon does that listens already."""
         self.renewal.start()
         for work in (
-            self.pauses.tick(),
+            self.pauses.check_periodically(),
             self.renewal.run(),
             self.membership.send_heartbeats(),
             self.membership.read_list(self._listing),
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -21,9 +21,9 @@
     writer = log_writer.Writer(writing)
     writer.start()
     began = time.monotonic()
-    for number in range(log_writer.MOST_A_SECOND * 3):
+    for number in range(log_writer.MAX_LINES_PER_SECOND * 3):
         writer.emit(_record(number, logging.WARNING))
-    for number in range(log_writer.MOST_WAITING * 2):
+    for number in range(log_writer.MAX_BUFFERED_LINES * 2):
         writer.emit(_record(number, logging.WARNING))
     spent = time.monotonic() - began
     # Generous: blocked on the pipe it would never end.
@@ -40,10 +40,10 @@
 def test_a_flood_of_lines_is_cut_and_warnings_are_kept() -> None:
     reading, writing = os.pipe()
     writer = log_writer.Writer(writing)
-    for number in range(log_writer.MOST_A_SECOND * 3):
+    for number in range(log_writer.MAX_LINES_PER_SECOND * 3):
         writer.emit(_record(number))
     writer.emit(_record(1, logging.WARNING))
-    assert len(writer._lines) <= 2 * log_writer.MOST_A_SECOND + 1
+    assert len(writer._lines) <= 2 * log_writer.MAX_LINES_PER_SECOND + 1
     assert writer._lines[-1] == "line 1"
     writer._lines.clear()
     writer.flush()
--- a/tests/test_reloading.py
+++ b/tests/test_reloading.py
@@ -31,7 +31,7 @@
     file = reloading.Reloading(path, texts.read_settings(TEXT))
     taken: list[settings_schema.Settings] = []
     file.on_change(taken.append)
-    file.look()
+    file.reload_if_changed()
     return file, taken
 
 
@@ -40,9 +40,9 @@
     file, taken = _watch(path)
     assert not taken
     path.write_text(TEXT.replace("0.2", "0.3"))
-    file.look()
+    file.reload_if_changed()
     assert [found.gateway.retry_share for found in taken] == [0.3]
-    file.look()
+    file.reload_if_changed()
     assert len(taken) == 1
 
 
@@ -51,12 +51,12 @@
     path = tmp_path / "settings.toml"
     file, taken = _watch(path)
     path.write_text(TEXT[:60])
-    file.look()
+    file.reload_if_changed()
     path.unlink()
-    file.look()
+    file.reload_if_changed()
     assert not taken
     path.write_text(TEXT.replace("10.0.0.1:1", "10.0.0.2:1"))
-    file.look()
+    file.reload_if_changed()
     assert [found.seeds for found in taken] == [["10.0.0.2:1"]]
 
 
