--- a/packages/daemon/cassiaquay_daemon/logs.py
+++ b/packages/daemon/cassiaquay_daemon/logs.py
@@ -85,6 +85,6 @@
     _LOGGER.debug(name, extra=fields)
 
 
-def also(handler: logging.Handler) -> None:
+def add_handler(handler: logging.Handler) -> None:
     """Add a handler that also receives each event."""
     _LOGGER.addHandler(handler)
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -84,7 +84,7 @@
         )
         self._parts = parts
         self._teams = top_counts.TopCounts(chosen.heaviest_teams)
-        logs.also(self.history)
+        logs.add_handler(self.history)
         parts.owned.on_ended(self.ended)
         parts.owned.on_wasted(self.wasted)
 
