--- a/tests/mesh_fakes.py
+++ b/tests/mesh_fakes.py
@@ -1,4 +1,4 @@
-"""Instances that hear each other by messages which wait until they are delivered."""
+"""Fake links between instances, which queue messages until a test delivers them."""
 
 import collections
 
@@ -10,7 +10,7 @@
 
 
 class Wire(fakes.Links):
-    """An instance's links to all others."""
+    """The links of one instance to all others."""
 
     def __init__(self, mesh: "Mesh", name: str):
         super().__init__()
@@ -23,7 +23,7 @@
 
 
 class End:
-    """One end of a link, at the instance that sends."""
+    """The sender's end of a link."""
 
     def __init__(self, mesh: "Mesh", sender: str, instance: str):
         self.instance = instance
@@ -37,23 +37,23 @@
 
 
 class Members(fakes.Membership):
-    """All instances are neighbours."""
+    """A membership in which all instances are neighbours."""
 
     def __init__(self, own: str):
         super().__init__("", [fakes.Owner(name) for name in NAMES])
-        self.heard: list = []
+        self.heartbeat_callbacks: list = []
         self._own = own
 
     def on_heartbeat(self, call) -> None:
-        """Keep a callback."""
-        self.heard.append(call)
+        """Register a callback for heartbeats."""
+        self.heartbeat_callbacks.append(call)
 
     def serving(self) -> list:
-        """Return all of them."""
+        """Return all instances."""
         return list(self.owners.values())
 
     def neighbours(self) -> dict[str, str]:
-        """Return the others."""
+        """Return the addresses of the other instances."""
         return {name: "h:1" for name in self.owners if name != self._own}
 
     def has_older_instances(self) -> bool:
@@ -62,7 +62,7 @@
 
 
 class Mesh:
-    """The wires between instances."""
+    """All instances, the links between them and the queue of sent messages."""
 
     def __init__(self) -> None:
         self.queue: collections.deque = collections.deque()
@@ -78,26 +78,26 @@
         key = (sender, receiver)
         return self._ends.setdefault(key, End(self, sender, receiver))
 
-    def beat(self, sender: str, beat: messages.Heartbeat) -> None:
-        """Let an instance send a heartbeat to all others."""
+    def send_heartbeat(self, sender: str, heartbeat: messages.Heartbeat) -> None:
+        """Queue a heartbeat from one instance to all others."""
         for name in NAMES:
             if name != sender:
-                self.queue.append((sender, name, beat))
+                self.queue.append((sender, name, heartbeat))
 
-    def deliver(self, asleep: str = "") -> None:
-        """Deliver all that is under way, and what is sent in answer.
+    def deliver(self, paused: str = "") -> None:
+        """Deliver all queued messages, and those sent in response.
 
-        What is sent to the instance ``asleep`` waits.
+        Messages to the instance ``paused`` stay in the queue.
         """
         waiting = []
         while self.queue:
             sender, receiver, message = self.queue.popleft()
-            if receiver == asleep:
+            if receiver == paused:
                 waiting.append((sender, receiver, message))
                 continue
             link = self.end(receiver, sender)
             if isinstance(message, messages.Heartbeat):
-                for call in self.members[receiver].heard:
+                for call in self.members[receiver].heartbeat_callbacks:
                     call(link, message)
                 continue
             self.wires[receiver].handlers[type(message)](link, message)
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -28,18 +28,18 @@
         settings = fakes.settings(name)
         gateway = msgspec.structs.replace(settings.gateway, quarantine_seconds=900.0)
         settings = msgspec.structs.replace(settings, gateway=gateway)
-        self.members[name].heard.clear()
+        self.members[name].heartbeat_callbacks.clear()
         self.held[name] = quarantine.Quarantine(settings)
         self.reports[name] = crash_reports.CrashReports(
             self.held[name], self.wires[name], self.members[name], False
         )
 
-    def say(self) -> None:
+    def send_heartbeats(self) -> None:
         """Let all instances send their heartbeats, and deliver all."""
         for name in NAMES:
             digest = self.held[name].digest
             beat = messages.Heartbeat(1, 0, 0, [], [], 0, crashes_digest=digest)
-            self.beat(name, beat)
+            self.send_heartbeat(name, beat)
         self.deliver()
 
 
@@ -79,7 +79,7 @@
         fleet.deliver()
         fleet.start("cq-3")
         assert not fleet.reports["cq-3"].holds("poison")
-        fleet.say()
+        fleet.send_heartbeats()
         assert fleet.reports["cq-3"].holds("poison")
 
 
@@ -108,12 +108,12 @@
             elif kind == "restart":
                 fleet.start(name)
             elif kind == "deliver":
-                fleet.deliver(asleep=name)
+                fleet.deliver(paused=name)
             else:
                 time.now += 0.3
         for _ in range(3):
             time.now += crash_reports.RESEND_INTERVAL_S
-            fleet.say()
+            fleet.send_heartbeats()
         digests = {fleet.held[name].digest for name in NAMES}
         assert len(digests) == 1
         assert len({fleet.reports[name].holds("poison") for name in NAMES}) == 1
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership: who is seen, suspected, forgotten and handed out, on loopback links."""
+"""Membership over loopback links: discovery, suspicion, removal, address lists."""
 
 import asyncio
 import collections
@@ -26,10 +26,10 @@
 
 
 def test_instances_find_each_other_by_a_seed_when_the_list_is_down() -> None:
-    """A caller is sent to all instances though nobody can read the instance list.
+    """Address lists contain all instances although none can read the instance list.
 
-    The list is down from the start. Each knows one seed address; from it the facts on
-    all others spread.
+    The list is down from the start. Each instance has one seed address, through which
+    it learns of all others.
     """
 
     async def run() -> None:
@@ -43,11 +43,11 @@
     asyncio.run(run())
 
 
-def test_a_killed_instance_is_handed_out_to_nobody() -> None:
-    """After a moment no caller is sent to a dead instance.
+def test_a_killed_instance_is_removed_from_address_lists() -> None:
+    """No caller is sent to a failed instance once it is suspected.
 
-    It is killed without a farewell; the list goes on showing it as live. Its watchers
-    see the connection close, ask others, and suspect it.
+    It is killed without announcing its exit, and the list still shows it as live. The
+    instances that monitor it see the connection close, probe it and suspect it.
     """
 
     async def run() -> None:
@@ -63,11 +63,11 @@
     asyncio.run(run())
 
 
-def test_one_broken_connection_is_no_death() -> None:
-    """Callers keep being sent to both ends of a broken connection.
+def test_one_broken_connection_causes_no_suspicion() -> None:
+    """Callers are still sent to both ends of a broken connection.
 
-    Two of four instances cannot reach each other; the others hear both. Whoever
-    misses heartbeats asks the others first, so nobody is suspected.
+    Two of four instances cannot reach each other; the others reach both. An instance
+    that misses heartbeats probes through the others first, so none is suspected.
     """
 
     async def run() -> None:
@@ -83,11 +83,11 @@
     asyncio.run(run())
 
 
-def test_helpers_without_a_connection_are_asked_too() -> None:
-    """Callers keep being sent to both ends of a broken connection in a larger fleet.
+def test_probes_reach_helpers_without_a_connection() -> None:
+    """Callers are still sent to both ends of a broken connection in a larger fleet.
 
-    Of twelve instances each has connections to a few. One misses another's heartbeats
-    and asks helpers that it has to dial first.
+    Each of twelve instances has connections to a few. One misses heartbeats of another
+    and probes through helpers that it must dial first.
     """
 
     async def run() -> None:
@@ -107,10 +107,10 @@
 
 
 def test_a_paused_instance_is_suspected_whoever_else_waits_for_it() -> None:
-    """Callers of a paused instance are sent on within two periods of the deadline.
+    """Callers are no longer sent to a paused instance two periods after the timeout.
 
-    Its connections stay open and say nothing. The two that watch it ask each other in
-    turns; none may take for a sign of life that the other has begun to wait anew.
+    Its connections stay open but silent. Two instances that monitor it probe through
+    each other; neither may count the other's restarted timeout as a heartbeat.
     """
 
     async def run() -> None:
@@ -124,11 +124,11 @@
     asyncio.run(run())
 
 
-def test_two_sides_of_a_partition_find_each_other_again() -> None:
-    """Callers of each side are sent to that side only, then to all again.
+def test_two_sides_of_a_partition_reconnect_afterwards() -> None:
+    """Callers are sent only to their side of a partition, and afterwards to all again.
 
-    Each side suspects the other and forgets it. The list is down all the while, so
-    that after the healing only the memory of the lost addresses helps.
+    Each side suspects and forgets the other. The list is down all the time, so that
+    after the partition the sides reconnect only through remembered addresses.
     """
 
     async def run() -> None:
@@ -149,11 +149,12 @@
     asyncio.run(run())
 
 
-def test_an_instance_known_by_hearsay_alone_is_suspected_too() -> None:
-    """A caller of an instance that is cut off is not sent to one never heard there.
+def test_an_instance_known_only_through_others_is_suspected() -> None:
+    """An isolated instance does not list a member that it never had contact with.
 
-    One learns of another by a third, and is cut off from the third at once. Nobody
-    that it hears watches the other for it: it has to miss heartbeats that never came.
+    It learns of that member through a third instance and is cut off from the third at
+    once. No one else can report the failure, so it must count heartbeats that never
+    arrived as missing.
     """
 
     async def run() -> None:
@@ -167,7 +168,7 @@
     asyncio.run(run())
 
 
-def test_a_restarted_instance_takes_the_place_of_its_earlier_life() -> None:
+def test_a_restarted_instance_replaces_its_earlier_incarnation() -> None:
     async def run() -> None:
         async with fleets.fleet() as fleet:
             one, two = await fleet.add_many(2)
@@ -186,7 +187,7 @@
     asyncio.run(run())
 
 
-def test_a_leaving_instance_is_not_handed_out() -> None:
+def test_a_leaving_instance_gets_no_callers() -> None:
     async def run() -> None:
         async with fleets.fleet() as fleet:
             *_, last = await fleet.add_many(3)
@@ -197,10 +198,10 @@
     asyncio.run(run())
 
 
-def test_an_instance_that_the_list_calls_leaving_is_not_handed_out() -> None:
-    """The platform is about to take an instance away that does not know it yet.
+def test_an_instance_listed_as_leaving_gets_no_callers() -> None:
+    """The platform is about to remove an instance that has no notice of it yet.
 
-    A line with another address is of an earlier life of that name and is not heeded.
+    A line with another address is of an earlier incarnation and is ignored.
     """
 
     async def run() -> None:
@@ -215,7 +216,7 @@
     asyncio.run(run())
 
 
-def test_an_instance_that_has_left_the_list_serves_while_it_is_heard() -> None:
+def test_an_unlisted_instance_serves_while_it_sends_heartbeats() -> None:
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(3)
@@ -228,10 +229,10 @@
     asyncio.run(run())
 
 
-def test_everybody_is_watched_where_neighbours_are_few() -> None:
-    """With three neighbours for each of 24, a killed one is noticed by all.
+def test_every_instance_is_monitored_with_few_neighbours() -> None:
+    """With three neighbours for each of 24 instances, all learn of a killed one.
 
-    No instance sends heartbeats to all others; the news of the death spreads.
+    No instance sends heartbeats to all others; the suspicion spreads by gossip.
     """
 
     async def run() -> None:
@@ -248,11 +249,12 @@
     asyncio.run(run())
 
 
-def test_choices_that_are_over_are_not_kept_alive() -> None:
-    """Callers of a large fleet do not pay for heartbeats that nobody asked for.
+def test_heartbeats_to_former_neighbours_stop() -> None:
+    """Heartbeats to former neighbours stop.
 
-    While 24 instances start, each chooses others as it hears of them. Once all are
-    known, heartbeats go to the three that are chosen, and to those that chose it.
+    While 24 instances start, each changes its neighbours as it discovers more of them.
+    In the end it sends heartbeats only to its three neighbours and to those that chose
+    it as theirs.
     """
 
     async def run() -> None:
@@ -277,8 +279,8 @@
     asyncio.run(run())
 
 
-def test_ranks_of_neighbours_leave_nobody_out() -> None:
-    """Each of 380 hears at least the 8 that it chose; few have many more links."""
+def test_neighbour_ranks_connect_all_instances() -> None:
+    """Each of 380 instances has links to 8 others or more, and none to many more."""
     names = [f"cq-{number}" for number in range(380)]
     linked: dict[str, set[str]] = {name: set() for name in names}
     for name in names:
@@ -300,8 +302,8 @@
     assert hops <= 5
 
 
-def test_a_stranger_is_refused_and_the_others_go_on() -> None:
-    """An instance with another key is never seen; those with the right one go on."""
+def test_an_instance_with_another_key_is_rejected() -> None:
+    """An instance with another key never joins; the others are not affected."""
 
     async def run() -> None:
         async with fleets.fleet() as fleet:
@@ -317,8 +319,8 @@
 def test_keys_rotate_one_instance_after_another() -> None:
     """No instance is cut off while operators replace the shared key.
 
-    Steps: all know the old key; each is restarted with old and new; each with new and
-    old; then with the new alone. Two neighbouring steps always understand each other.
+    Steps: all have the old key; each is restarted with old and new; each with new and
+    old; then with the new alone. Instances one step apart accept each other.
     """
     steps = [["old"], ["old", "new"], ["new", "old"], ["new"]]
 
@@ -365,16 +367,16 @@
     asyncio.run(run())
 
 
-def test_a_frame_that_is_no_message_is_a_fault() -> None:
+def test_a_malformed_frame_raises_invalid_frame() -> None:
     decoder = frames.Decoder()
     with pytest.raises(exceptions.InvalidFrame):
         decoder.feed(b"\x93\x04\xa1x\x01")
 
 
-def test_tokens_made_by_others_are_good_at_their_owner() -> None:
-    """A caller gets a token for one instance from another one.
+def test_tokens_issued_by_other_instances_are_valid_at_their_owner() -> None:
+    """A token for one instance, issued by another, is valid at the former.
 
-    It names the right incarnation and does not outlive what the owner would give.
+    It has the right incarnation and expires no later than one issued by the owner.
     """
 
     async def run() -> None:
@@ -392,10 +394,9 @@
 
 
 def test_callers_spread_evenly_and_prefer_their_own_domain() -> None:
-    """Of 9 equally loaded instances each gets its share; near ones come first.
+    """Each of 9 equally loaded instances gets its share; those nearby come first.
 
-    When the near ones have much more to do than the far ones, the far ones are
-    preferred again.
+    When those in the caller's domain have a much higher load, others are preferred.
     """
 
     async def run() -> None:
@@ -430,7 +431,7 @@
 
 
 def test_a_suspicion_is_refuted_by_the_suspected() -> None:
-    """A live instance that one other suspects by mistake is handed out again."""
+    """A live instance that another suspects by mistake is listed again."""
 
     async def run() -> None:
         async with fleets.fleet() as fleet:
@@ -447,10 +448,10 @@
     asyncio.run(run())
 
 
-def test_an_instance_that_starts_later_knows_that_others_ran_before(
+def test_a_later_instance_detects_older_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a restart that is taken for the loss of the whole fleet."""
+    """Guards against taking the restart of one instance for a start of the fleet."""
     monkeypatch.setattr(facts, "START_SPREAD_SECONDS", 0.05)
 
     async def run() -> None:
--- a/tests/test_server_lists.py
+++ b/tests/test_server_lists.py
@@ -1,4 +1,4 @@
-"""Lists of backend servers between instances: what one keeps stays its own."""
+"""Exchange of server lists between instances: retained servers are never sent."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class Fleet(mesh_fakes.Mesh):
-    """Instances before one store."""
+    """Several instances that share one store."""
 
     def __init__(self, *entries: messages.ServerEntry):
         super().__init__()
@@ -41,13 +41,13 @@
         return self.configured[name].names
 
     def read(self, name: str) -> bool:
-        """Let an instance read the store."""
+        """Make an instance read the store."""
         return asyncio.run(self.lists[name].read_once())
 
-    def say(self, sender: str) -> None:
-        """Let an instance send its heartbeats."""
+    def send_heartbeats(self, sender: str) -> None:
+        """Queue the heartbeats of an instance."""
         state = self.lists[sender].state
-        self.beat(
+        self.send_heartbeat(
             sender,
             messages.Heartbeat(
                 1, 0, 0, [], [], 0, *state[:3], servers_steady_ms=state.steady_ms
@@ -64,7 +64,7 @@
 
 
 def _outage(time: fakes.Time, fleet: Fleet, seconds: float) -> None:
-    """Let the store be away, and all instances ask it in vain."""
+    """Make the store unavailable for some seconds, and all instances' reads fail."""
     fleet.store.down = True
     time.now += seconds
     for name in NAMES:
@@ -77,15 +77,15 @@
     fleet.store.entries = left
 
 
-def test_a_removed_server_does_not_come_back_from_an_instance_that_woke() -> None:
-    """Guards against a list that puts back what its reader alone still keeps."""
+def test_a_removed_server_is_not_restored_by_an_instance_after_a_pause() -> None:
+    """Guards against spreading a server that only the reading instance still lists."""
     with fakes.Time().used() as time:
         fleet = _fleet("i-1", "i-2")
         for _ in range(5):
             time.now += 1.0
             fleet.read("cq-1")
-            fleet.say("cq-1")
-            fleet.deliver(asleep="cq-3")
+            fleet.send_heartbeats("cq-1")
+            fleet.deliver(paused="cq-3")
         fleet.read("cq-3")
         fleet.deliver()
         _remove(fleet, "i-2")
@@ -101,8 +101,8 @@
             assert fleet.in_use(name) == {"i-1", "i-3"}
 
 
-def test_an_own_absence_is_no_outage_of_the_platform() -> None:
-    """Guards against keeping a removed server since this process has slept."""
+def test_a_local_pause_is_not_an_outage_of_the_platform() -> None:
+    """Guards against retaining a removed server because this process was paused."""
     with fakes.Time().used() as time:
         fleet = _fleet("i-1", "i-2")
         time.now += 5.0
@@ -111,8 +111,8 @@
         assert fleet.in_use("cq-3") == {"i-1"}
 
 
-def test_what_one_instance_keeps_after_an_outage_is_not_sent_to_others() -> None:
-    """Guards against a server that is kept anew by each instance in turn."""
+def test_retained_servers_are_not_sent_to_other_instances() -> None:
+    """Guards against retaining a removed server on one instance after another."""
     with fakes.Time().used() as time:
         fleet = _fleet("i-1", "i-2")
         _outage(time, fleet, 5.0)
@@ -120,7 +120,7 @@
         fleet.read("cq-1")
         time.now += 1.5
         fleet.read("cq-1")
-        # cq-3 reads the platform's return later than cq-1, and keeps i-2 for longer.
+        # cq-3 detects the platform's return later than cq-1 and retains i-2 for longer.
         fleet.read("cq-3")
         fleet.deliver()
         time.now += 1.0
@@ -132,8 +132,8 @@
         assert fleet.in_use("cq-1") == {"i-1", "i-3"}
 
 
-def test_a_kept_server_is_dropped_where_only_heartbeats_confirm_the_list() -> None:
-    """Guards against a server that is kept for ever by whoever reads no list itself."""
+def test_a_retained_server_is_dropped_on_confirmation_by_heartbeats() -> None:
+    """Guards against retaining a server forever on instances that do not read."""
     with fakes.Time().used() as time:
         fleet = _fleet("i-1", "i-2")
         _outage(time, fleet, 5.0)
@@ -144,26 +144,26 @@
         for _ in range(5):
             time.now += 0.5
             fleet.read("cq-1")
-            fleet.say("cq-1")
+            fleet.send_heartbeats("cq-1")
             fleet.deliver()
         assert fleet.in_use("cq-3") == {"i-1"}
 
 
 def _cut_off(time: fakes.Time, fleet: Fleet) -> None:
-    """Let cq-3 reach nobody for 5 s; its reads fail."""
+    """Isolate cq-3 from all instances and from the store for 5 s."""
     for _ in range(10):
         time.now += 0.5
         fleet.store.down = True
         assert not fleet.read("cq-3")
         fleet.store.down = False
         fleet.read("cq-1")
-        fleet.say("cq-1")
-        fleet.deliver(asleep="cq-3")
+        fleet.send_heartbeats("cq-1")
+        fleet.deliver(paused="cq-3")
     fleet.queue.clear()
 
 
-def test_who_was_cut_off_follows_those_that_read_the_platform_meanwhile() -> None:
-    """Guards against keeping a server that left while this instance was cut off."""
+def test_an_isolated_instance_adopts_the_list_of_connected_ones() -> None:
+    """Guards against retaining a server that left while this instance was cut off."""
     with fakes.Time().used() as time:
         fleet = _fleet("i-1", "i-2")
         _cut_off(time, fleet)
@@ -171,13 +171,13 @@
         fleet.read("cq-1")
         fleet.read("cq-3")
         assert fleet.in_use("cq-3") == {"i-1", "i-2"}
-        fleet.say("cq-1")
+        fleet.send_heartbeats("cq-1")
         fleet.deliver()
         assert fleet.in_use("cq-3") == {"i-1"}
 
 
-def test_who_has_not_seen_the_return_yet_does_not_deny_the_outage() -> None:
-    """Guards against dropping servers by a heartbeat of before the outage."""
+def test_a_heartbeat_from_before_an_outage_does_not_end_retention() -> None:
+    """Guards against dropping servers because of a heartbeat from before the outage."""
     with fakes.Time().used() as time:
         fleet = _fleet("i-1", "i-2")
         time.now += 1.0
@@ -185,14 +185,14 @@
         _outage(time, fleet, 4.0)
         _remove(fleet, "i-2")
         fleet.read("cq-3")
-        fleet.say("cq-1")
+        fleet.send_heartbeats("cq-1")
         fleet.deliver()
         assert fleet.in_use("cq-3") == {"i-1", "i-2"}
         assert fleet.in_use("cq-1") == {"i-1", "i-2"}
 
 
-def test_the_list_is_read_as_soon_as_it_shows_which_servers_were_kept_in_vain() -> None:
-    """Guards against requests to a server that left, for as long as a list is fresh."""
+def test_the_list_is_read_as_soon_as_retention_ends() -> None:
+    """Guards against sending requests to a server that left until the list is stale."""
 
     async def dropped_after() -> float:
         fleet = Fleet(stand_ins._entry("i-1"), stand_ins._entry("i-2"))
@@ -241,9 +241,9 @@
     if kind == "read":
         fleet.read(name)
     elif kind == "beat":
-        fleet.say(name)
+        fleet.send_heartbeats(name)
     elif kind == "deliver":
-        fleet.deliver(asleep=name)
+        fleet.deliver(paused=name)
     elif kind == "wait":
         time.now += 0.8
     elif kind == "sleep":
@@ -260,8 +260,8 @@
 
 @hypothesis.settings(max_examples=300, deadline=None, derandomize=True)
 @hypothesis.given(STEPS)
-def test_a_server_comes_into_use_only_by_a_list_that_the_platform_gave(steps) -> None:
-    """Guards against servers that come back by what an instance kept for itself."""
+def test_servers_come_into_use_only_through_a_list_of_the_platform(steps) -> None:
+    """Guards against bringing back servers that an instance had only retained."""
     with fakes.Time().used() as time:
         fleet = _fleet("i-1", "i-2", "i-3")
         served = {fleet.store.revision + 1: fleet.in_use("cq-1")}
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""The list of backend servers: as new as anybody has it, never back."""
+"""The list of backend servers: as recent as on any instance, and never reverted."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class Store:
-    """The platform's store."""
+    """A fake of the platform's server store."""
 
     def __init__(self, *entries: messages.ServerEntry):
         self.revision = 10
@@ -38,7 +38,7 @@
 
 
 class Configured:
-    """Stands for the configuration."""
+    """A fake of the configuration."""
 
     def __init__(self) -> None:
         self.pools: dict = {}
@@ -46,16 +46,16 @@
         self.revision = 0
 
     def should_fetch(self, position: configuration.TextVersion) -> bool:
-        """Want what is newer."""
+        """Return whether the version has a newer revision."""
         return position.revision > self.revision
 
     def set_registered_servers(self, registered: snapshots.Registered) -> None:
-        """Keep the servers."""
+        """Record the servers."""
         self.pools = registered.pools
         self.evacuated = registered.evacuated
 
     async def read_once(self, texts: object) -> None:
-        """Read nothing."""
+        """Do nothing."""
 
     @property
     def names(self) -> set[str]:
@@ -64,34 +64,34 @@
 
 
 class Texts:
-    """The configuration service, and what the operator has evacuated."""
+    """A fake of the configuration service, with the evacuated domains."""
 
     def __init__(self) -> None:
         self.evacuated = platform.NOTHING_EVACUATED
 
 
 class Members(fakes.Membership):
-    """Members that hear each other."""
+    """A fake membership."""
 
     def __init__(self, *names: str):
         super().__init__("", [fakes.Owner(name) for name in names])
-        self.heard: list = []
+        self.heartbeat_callbacks: list = []
 
     def on_heartbeat(self, call) -> None:
-        """Keep a callback."""
-        self.heard.append(call)
+        """Register a callback for heartbeats."""
+        self.heartbeat_callbacks.append(call)
 
     def serving(self) -> list:
-        """Return all of them."""
+        """Return all members."""
         return list(self.owners.values())
 
     def neighbours(self) -> dict[str, str]:
-        """Return the others."""
+        """Return the addresses of the other members."""
         return {name: "h:1" for name in self.owners if name != "cq-1"}
 
 
 class Links(fakes.Links):
-    """Links to the members."""
+    """Fake links to the members."""
 
     def __init__(self, known: Members):
         super().__init__()
@@ -103,7 +103,7 @@
 
 
 class Site:
-    """One instance's list."""
+    """The server list of one instance, with its fakes."""
 
     def __init__(self, *entries: messages.ServerEntry):
         self.store = Store(*entries)
@@ -124,15 +124,15 @@
         """Read the store once."""
         return asyncio.run(self.list.read_once())
 
-    def beat(
+    def receive_heartbeat(
         self, revision: int, age_ms: int, digest: int, configuration_revision: int = 0
     ) -> fakes.Owner:
-        """Hear a neighbour's heartbeat; return its link."""
+        """Receive a neighbour's heartbeat; return its link."""
         link = self.members.owners["cq-2"]
         beat = messages.Heartbeat(
             1, configuration_revision, 0, [], [], 0, revision, age_ms, digest
         )
-        for call in self.members.heard:
+        for call in self.members.heartbeat_callbacks:
             call(link, beat)
         return link
 
@@ -152,8 +152,8 @@
     assert site.configured.names == {"i-2"}
 
 
-def test_a_removed_entry_is_a_server_that_has_gone(time) -> None:
-    """Some servers never say that they leave: their entry is taken away."""
+def test_a_server_whose_entry_was_removed_is_dropped(time) -> None:
+    """Some servers never announce that they leave; their entry just disappears."""
     site = Site(_entry("i-1"), _entry("i-2"))
     site.read()
     time.now += 0.6
@@ -162,11 +162,11 @@
     assert site.configured.names == {"i-1"}
 
 
-def test_entries_that_ran_out_during_an_outage_have_two_seconds(time) -> None:
-    """The store was down so long that all registrations ran out.
+def test_entries_expired_in_an_outage_are_retained_for_two_seconds(time) -> None:
+    """Guards against dropping live servers after an outage of the store.
 
-    They are back within two seconds of its return; until then the servers, which
-    live, are used. What is still missing then has gone.
+    All registrations expired during the outage and are renewed within two seconds of
+    its end. Until then the servers stay in use; those still missing then are dropped.
     """
     site = Site(_entry("i-1"), _entry("i-2"))
     site.read()
@@ -187,7 +187,7 @@
 
 
 def test_an_older_answer_changes_nothing(time) -> None:
-    """An answer that was under way for long comes after a newer one."""
+    """A delayed response arrives after a newer one."""
     site = Site(_entry("i-1", 11))
     site.read()
     site.store.entries = [_entry("i-1", 12, leaving=True)]
@@ -199,7 +199,7 @@
     assert not site.configured.names
 
 
-def test_a_reborn_server_is_news(time) -> None:
+def test_a_restarted_server_changes_the_digest(time) -> None:
     site = Site(_entry("i-1"))
     site.read()
     before = site.list.state.digest
@@ -212,44 +212,48 @@
 def test_news_is_told_at_once(time) -> None:
     site = Site(_entry("i-1"))
     site.read()
-    told = site.members.owners["cq-2"].sent
-    assert [type(item) for item in told] == [messages.ServerList]
+    sent = site.members.owners["cq-2"].sent
+    assert [type(item) for item in sent] == [messages.ServerList]
     site.store.entries = [_entry("i-1", 20)]
     site.read()
-    assert len(told) == 1, "a heartbeat of a server is no news"
+    assert len(sent) == 1, "a server's heartbeat is not a change of the list"
 
 
-def test_a_neighbours_read_saves_an_own_one(time) -> None:
-    """The neighbour's list has the same servers and was read 0.2 s ago."""
+def test_a_neighbours_heartbeat_confirms_the_list(time) -> None:
+    """The neighbour's list has equal servers and was read 0.2 s ago."""
     site = Site(_entry("i-1"))
     site.read()
     time.now += 1.5
     assert site.list.age == pytest.approx(1.5)
     state = site.list.state
-    site.beat(state.revision + 5, 200, state.digest)
+    site.receive_heartbeat(state.revision + 5, 200, state.digest)
     assert site.list.age == pytest.approx(0.2)
 
 
 def test_a_neighbour_with_a_newer_configuration_confirms_nothing(time) -> None:
-    """A key is taken away; a caller shows it at an instance that has not heard.
+    """Guards against accepting a revoked key at an instance with the old text.
 
-    The neighbour has read the change and says in its heartbeat that its list is
-    fresh; the text of the change is still on its way here. An instance that took the
-    heartbeat as proof that it is up to date would let the caller in.
+    A neighbour has read the change, and its heartbeat says that its list is fresh. The
+    text is still in transit. An instance that took the heartbeat as confirmation of its
+    own state would accept the key.
     """
     site = Site(_entry("i-1"))
     site.read()
     time.now += 2.5
     state = site.list.state
-    site.beat(state.revision + 5, 0, state.digest, configuration_revision=7)
+    site.receive_heartbeat(
+        state.revision + 5, 0, state.digest, configuration_revision=7
+    )
     assert site.list.is_behind
     site.configured.revision = 7
-    site.beat(state.revision + 5, 0, state.digest, configuration_revision=7)
+    site.receive_heartbeat(
+        state.revision + 5, 0, state.digest, configuration_revision=7
+    )
     assert not site.list.is_behind
 
 
-def test_a_list_by_message_says_nothing_of_the_configuration(time) -> None:
-    """The servers have come from a neighbour; whether the keys hold is not known."""
+def test_a_received_list_does_not_confirm_the_configuration(time) -> None:
+    """A list received from a neighbour does not confirm the configuration."""
     site = Site(_entry("i-1"))
     site.read()
     time.now += 2.5
@@ -260,23 +264,23 @@
     assert site.list.is_behind
 
 
-def test_a_newer_list_is_asked_for_and_taken(time) -> None:
+def test_a_newer_list_is_requested_and_applied(time) -> None:
     site = Site(_entry("i-1"))
     site.read()
-    link = site.beat(99, 0, 12345)
+    link = site.receive_heartbeat(99, 0, 12345)
     assert isinstance(link.sent[-1], messages.ServerListQuery)
     news = messages.ServerList(99, 0, [_entry("i-1", 98, leaving=True)])
     site.links.handlers[messages.ServerList](link, news)
     assert not site.configured.names
     assert site.list.revision == 99
-    # An older one that comes after it is not taken.
+    # An older list that arrives later is ignored.
     old = messages.ServerList(50, 0, [_entry("i-1", 49)])
     site.links.handlers[messages.ServerList](link, old)
     assert not site.configured.names
 
 
-def test_a_list_that_nobody_confirms_is_read_here(time) -> None:
-    """The instance that reads has died; this one is the next in order, or last."""
+def test_an_unconfirmed_list_is_read_locally(time) -> None:
+    """The reading instance has failed; this one is the next by rank, or a later one."""
     site = Site(_entry("i-1"))
     site.read()
     max_age = site.list._max_age()
@@ -287,12 +291,12 @@
     assert freshness.Freshness() == (0, 0, 0, 0)
 
 
-def test_a_heartbeat_that_was_long_on_its_way_confirms_nothing_new(time) -> None:
-    """A link loses packets, and a heartbeat arrives two seconds after it was sent.
+def test_a_delayed_heartbeat_does_not_refresh_the_age(time) -> None:
+    """Guards against taking a delayed heartbeat for a fresh confirmation.
 
-    It says that the list was confirmed 0.1 s ago, which was so when it was sent. Taken
-    for true now, nobody here would read the list though it may be two seconds old, and
-    a configuration of that time would stay in force.
+    A link loses packets, and a heartbeat arrives two seconds late. It says that the
+    list was confirmed 0.1 s ago. Taken literally, the list and the configuration could
+    be two seconds out of date without being read again.
     """
     site = Site(_entry("i-1"))
     asyncio.run(site.list.read_once())
@@ -300,22 +304,22 @@
     digest = site.list.state.digest
     started = time.now - 700.0
 
-    def hear(sent_at: float) -> None:
+    def receive(sent_at: float) -> None:
         sent_ms = int((sent_at - started) * 1000.0)
         beat = messages.Heartbeat(1, 0, 0, [], [], 0, 99, 100, digest, sent_ms)
-        for call in site.members.heard:
+        for call in site.members.heartbeat_callbacks:
             call(link, beat)
 
     time.now += 0.5
-    hear(time.now - 0.002)
+    receive(time.now - 0.002)
     assert site.list.age == pytest.approx(0.5)
     time.now += 0.3
-    hear(time.now - 0.002)
+    receive(time.now - 0.002)
     assert site.list.age == pytest.approx(0.1, abs=0.01)
     time.now += 2.2
-    hear(time.now - 2.0)
+    receive(time.now - 2.0)
     assert site.list.age == pytest.approx(2.1, abs=0.01)
-    hear(time.now - 0.002)
+    receive(time.now - 0.002)
     assert site.list.age == pytest.approx(0.1, abs=0.01)
 
 
@@ -324,7 +328,7 @@
 
 
 def test_an_evacuation_is_in_force_with_the_list_that_names_it(time) -> None:
-    """A daemon that starts during one must know of it before its first request."""
+    """A daemon that starts during an evacuation applies it before its first request."""
     site = Site(_entry("i-1"), _entry("i-2", domain="b"))
     _evacuate(site, 11, "b")
     site.read()
@@ -339,13 +343,13 @@
     news = messages.ServerList(12, 0, [_entry("i-1")], ["a"], 13)
     site.links.handlers[messages.ServerList](site.members.owners["cq-2"], news)
     assert site.configured.evacuated == ["a"]
-    told = site.members.owners["cq-2"].sent[-1]
-    assert told.evacuated == ["a"]
-    assert told.evacuated_revision == 13
+    sent = site.members.owners["cq-2"].sent[-1]
+    assert sent.evacuated == ["a"]
+    assert sent.evacuated_revision == 13
 
 
 def test_an_older_list_does_not_take_an_evacuation_back(time) -> None:
-    """The reader of a slow store ends after another one that has seen the change."""
+    """A slow read of the store ends after another one that includes the change."""
     site = Site(_entry("i-1"))
     _evacuate(site, 20, "a")
     site.read()
@@ -357,7 +361,7 @@
     assert site.configured.evacuated == ["a"]
 
 
-def test_evacuations_overlap_and_end_each_by_itself(time) -> None:
+def test_overlapping_evacuations_end_independently(time) -> None:
     site = Site(_entry("i-1"), _entry("i-2", domain="b"))
     for revision, domains in ((20, "a"), (21, "ab"), (22, "b"), (23, "")):
         _evacuate(site, revision, *domains)
@@ -366,7 +370,7 @@
 
 
 def test_an_evacuation_alone_changes_the_digest(time) -> None:
-    """A neighbour is asked for its list only where the digests differ."""
+    """A neighbour's list is requested only when the digests differ."""
     site = Site(_entry("i-1"))
     site.read()
     before = site.list.state.digest
@@ -376,10 +380,13 @@
 
 
 @pytest.mark.parametrize(("rank", "least", "most"), [(0, 25, 40), (2, 3, 6)])
-def test_most_instances_ask_seldom_while_the_platform_is_away(
+def test_most_instances_retry_rarely_during_an_outage(
     rank, least, most, monkeypatch
 ) -> None:
-    """Each failed call counts, and hundreds of instances find their list too old."""
+    """During an outage, hundreds of instances find their list too old and retry.
+
+    Each failed call counts against the platform's quota.
+    """
     monkeypatch.setattr(servers.Servers, "_rank_among", lambda *_: rank)
 
     async def work() -> int:
@@ -395,7 +402,7 @@
 
 
 def test_the_log_names_the_source_of_each_change(time, caplog) -> None:
-    """Guards against lists whose effect cannot be traced to who sent them."""
+    """Guards against changes of the list that cannot be traced to their source."""
     caplog.set_level("INFO", logger="cassiaquay")
     site = Site(_entry("i-1"), _entry("i-2"))
     site.read()
