--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""The checks of `make lint` that are this project's own."""
+"""The project's own checks in `make lint`."""
 
 import pathlib
 
@@ -7,7 +7,7 @@
 from cassiaquay_dev.style import imports, lengths
 
 
-def test_a_long_file_is_named(
+def test_a_long_file_is_reported(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "short.py").write_text("a = 1\n" * lengths.MOST_LINES)
@@ -30,7 +30,7 @@
         ("from .other import Name", 1),
     ],
 )
-def test_an_imported_name_is_found(
+def test_an_import_of_a_name_is_reported(
     tmp_path: pathlib.Path, line: str, code: int
 ) -> None:
     (tmp_path / "other.py").write_text("")
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: in force everywhere, strictly upwards, whatever the platform does."""
+"""Configuration: revisions reach all instances and never go back."""
 
 import asyncio
 
@@ -26,9 +26,9 @@
 
 
 def test_a_rejected_text_leaves_the_accepted_one_in_force() -> None:
-    """Callers go on under revision 1 while 2 has a fault; 3 is taken.
+    """Revision 1 stays in force while 2 is invalid; revision 3 is accepted.
 
-    The fault is reported with its place and reason at the instances that read it.
+    The instances that read the invalid text report its location and reason.
     """
 
     async def run() -> None:
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize(
     "text", ["", "\x00", "a = [", "[tiers]\nurgent = 3", "x" * 9, "[" * 5000]
 )
-def test_no_text_stops_an_instance(text: str) -> None:
+def test_malformed_texts_are_rejected(text: str) -> None:
     links = peers.Peers(light.settings_of("cq-1"), "a" * 12)
     configured = configuration.Configuration(light.settings_of("cq-1"), links)
     configured.accept(1, fleets.text(1))
@@ -62,8 +62,8 @@
     assert configured.rejected[2]
 
 
-def test_a_service_that_is_down_from_the_start_holds_back_until_it_is_up() -> None:
-    """Callers are refused as not ready, and served as soon as the text can be read."""
+def test_instances_do_not_serve_until_the_service_is_first_up() -> None:
+    """Callers are refused as not ready until the text can be read."""
 
     async def run() -> None:
         async with fleets.fleet() as fleet:
@@ -79,8 +79,8 @@
     asyncio.run(run())
 
 
-def test_an_instance_starts_while_the_service_is_down_for_long() -> None:
-    """The new one takes the text from its peers, and those go on under it."""
+def test_an_instance_starts_during_an_outage_of_the_service() -> None:
+    """The new instance gets the text from its peers, which continue to serve."""
 
     async def run() -> None:
         async with fleets.fleet() as fleet:
@@ -95,10 +95,10 @@
 
 
 def test_a_restart_against_a_stale_service_serves_by_the_newest_text() -> None:
-    """A restarted instance never has revision 1 in force while the others have 2.
+    """A restarted instance never puts revision 1 in force while the others have 2.
 
-    The service shows 1 again. The starting one hears both from the service and from
-    its peers, and holds back until it has the higher.
+    The service returns revision 1 again. The instance queries the service and its peers
+    and does not serve until it has the higher revision.
     """
 
     async def run() -> None:
@@ -118,7 +118,7 @@
 def test_all_are_replaced_one_after_another_while_the_service_is_stale() -> None:
     """No instance, old or new, ever goes back to revision 1.
 
-    Nothing keeps revision 2 but the running instances, which pass it on.
+    Revision 2 exists only on the running instances, which send it to new ones.
     """
 
     async def run() -> None:
@@ -137,11 +137,11 @@
     asyncio.run(run())
 
 
-def test_all_replaced_at_once_while_the_service_is_stale_go_back() -> None:
-    """What cannot be promised: nobody is left who knows revision 2.
+def test_a_fleet_replaced_at_once_falls_back_to_the_stale_text() -> None:
+    """States a limit: revision 2 is lost when no running instance has it.
 
-    Nothing of the system is stored; the stale service is all that the new ones have.
-    They take the newer text as soon as the service shows it.
+    Instances store nothing on disk, so new ones have only the stale service. They apply
+    the newer text as soon as the service returns it.
     """
 
     async def run() -> None:
@@ -180,8 +180,8 @@
     asyncio.run(run())
 
 
-def test_an_instance_without_peers_starts_within_its_wait() -> None:
-    """The list names an instance that never answers; the starting one serves alone."""
+def test_an_instance_without_reachable_peers_starts_after_a_timeout() -> None:
+    """The list has an instance that never answers; the starting one serves alone."""
 
     async def run() -> None:
         async with fleets.fleet() as fleet:
@@ -196,9 +196,9 @@
 
 
 def test_a_side_cut_off_from_the_service_catches_up_after_the_partition() -> None:
-    """One instance reads a service that stays at 1 and hears nobody; then it does.
+    """An isolated instance, whose service stays at 1, is reconnected to its peers.
 
-    It never puts anything but 1 and then 3 in force.
+    It puts only revision 1 and then revision 3 in force.
     """
 
     async def run() -> None:
@@ -221,10 +221,10 @@
     asyncio.run(run())
 
 
-def test_two_texts_under_one_revision_end_with_the_same_everywhere() -> None:
-    """Two halves of the platform show different texts as revision 2.
+def test_two_texts_under_one_revision_converge_on_one() -> None:
+    """Two halves of the platform return different texts as revision 2.
 
-    Neither is the older. All instances end with the one of the greater digest.
+    All instances converge on the text with the greater digest.
     """
     wanted = max(fleets.text(20), fleets.text(21), key=configuration.digest_of)
 
@@ -246,11 +246,10 @@
     asyncio.run(run())
 
 
-def test_a_paused_instance_acts_only_after_it_has_learnt_what_is_true() -> None:
-    """A process wakes up late and holds back until a peer has told it what is true.
+def test_a_paused_instance_acts_only_after_a_refresh() -> None:
+    """After a pause a process does not act until it has refreshed its state.
 
-    While it slept the others went to revision 2 and one of them died. It is cut off
-    at first, so that what it knows is stale; its wait is bounded all the same.
+    The others apply revision 2 meanwhile; the paused one must do so before it acts.
     """
 
     async def run() -> None:
@@ -268,8 +267,8 @@
     asyncio.run(run())
 
 
-def test_a_woken_instance_does_not_take_buffered_news_for_fresh() -> None:
-    """Only answers to questions asked after the pause let an instance act again."""
+def test_buffered_answers_do_not_end_a_refresh_after_a_pause() -> None:
+    """Only answers to queries sent after the pause let an instance act again."""
 
     async def run() -> None:
         async with fleets.fleet() as fleet:
@@ -287,12 +286,12 @@
     asyncio.run(run())
 
 
-def test_most_changes_spread_without_the_whole_text(
+def test_small_changes_are_sent_as_diffs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A change of one line reaches all instances as that line, not as the text.
+    """A change of one line is sent as a diff, not as the whole text.
 
-    Only one of eight can read the service; the others have it from their peers.
+    Only one of eight instances can read the service; the others get it from peers.
     """
     sent: list[messages.Message] = []
     send = peers.Link.send
@@ -323,5 +322,5 @@
 
 
 @hypothesis.given(strategies.text("ab\n", max_size=40), strategies.text("ab\n"))
-def test_a_change_turns_the_one_text_into_the_other(before: str, after: str) -> None:
+def test_a_diff_turns_one_text_into_the_other(before: str, after: str) -> None:
     assert changes.apply(before, changes.difference(before, after)) == after
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -1,4 +1,4 @@
-"""The exchange of reports on requests that crash servers."""
+"""The exchange of crash reports between instances."""
 
 import hypothesis
 import mesh_fakes
@@ -14,7 +14,7 @@
 
 
 class Fleet(mesh_fakes.Mesh):
-    """Instances that see servers crash."""
+    """Instances that exchange crash reports."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,7 +24,7 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start an instance that knows nothing."""
+        """Start an instance with an empty quarantine."""
         settings = fakes.settings(name)
         gateway = msgspec.structs.replace(settings.gateway, quarantine_seconds=900.0)
         settings = msgspec.structs.replace(settings, gateway=gateway)
@@ -35,7 +35,7 @@
         )
 
     def send_heartbeats(self) -> None:
-        """Let all instances send their heartbeats, and deliver all."""
+        """Send the heartbeats of all instances and deliver all messages."""
         for name in NAMES:
             digest = self.held[name].digest
             beat = messages.Heartbeat(1, 0, 0, [], [], 0, crashes_digest=digest)
@@ -48,19 +48,19 @@
         fleet.reports[name].crashed("poison", f"i-{number}/1")
 
 
-def test_all_instances_hold_a_request_that_each_saw_once() -> None:
-    """Guards against instances that count only the crashes they saw themselves."""
+def test_crashes_on_several_instances_quarantine_a_request_on_all() -> None:
+    """Guards against instances that count only the crashes they observed locally."""
     with fakes.Time().used():
         fleet = Fleet()
         _crash(fleet)
         fleet.deliver()
         for name in NAMES:
             assert fleet.reports[name].holds("poison")
-        assert not fleet.queue, "news goes round once"
+        assert not fleet.queue, "each report is forwarded once"
 
 
 def test_a_completion_anywhere_releases_a_request_everywhere() -> None:
-    """Guards against a request that some serve and others refuse."""
+    """Guards against a request that some instances serve and others refuse."""
     with fakes.Time().used():
         fleet = Fleet()
         _crash(fleet)
@@ -71,8 +71,8 @@
             assert not fleet.reports[name].holds("poison")
 
 
-def test_a_restarted_instance_learns_by_its_first_heartbeat() -> None:
-    """Guards against a restarted instance that sends what all others refuse."""
+def test_a_restarted_instance_gets_the_table_after_its_first_heartbeat() -> None:
+    """Guards against a restarted instance that dispatches a quarantined request."""
     with fakes.Time().used():
         fleet = Fleet()
         _crash(fleet)
@@ -95,7 +95,7 @@
 @hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
 @hypothesis.given(STEPS)
 def test_heartbeats_bring_all_instances_to_the_same_knowledge(steps) -> None:
-    """Guards against lost messages, restarts and pauses that leave one behind."""
+    """Guards against tables that differ after lost messages, restarts or pauses."""
     with fakes.Time().used() as time:
         fleet = Fleet()
         ended = 0
--- a/tests/test_early_bind.py
+++ b/tests/test_early_bind.py
@@ -1,7 +1,7 @@
-"""A process that has just been started, before its modules are loaded.
+"""Sockets of a starting process that listen before its modules are imported.
 
-All instances are killed at once and start again. Callers connect to each of them
-meanwhile; whoever is refused everywhere goes away. So the addresses listen first.
+When all instances are killed and restart at once, a caller that connects meanwhile must
+not be refused by all of them, as it would give up.
 """
 
 import pathlib
@@ -48,13 +48,12 @@
     return path, front, peers
 
 
-def test_a_caller_connects_before_the_modules_are_loaded(
+def test_a_caller_connects_before_the_modules_are_imported(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A caller connects while a process that was killed starts again.
+    """A caller connects while a killed process restarts.
 
-    Its connection is accepted by the socket that listens from the first moment, and is
-    the one that the gateway serves once it is there.
+    The early socket queues its connection, which the gateway later accepts and serves.
     """
     path, front, _ = _settings(tmp_path)
     program = START.format(front=front, path=str(path))
@@ -64,10 +63,10 @@
     assert done.stdout.split() == ["0", "True"]
 
 
-def test_what_nobody_takes_is_closed(tmp_path: pathlib.Path) -> None:
-    """The settings name an address that this process then does not serve.
+def test_unclaimed_sockets_are_closed(tmp_path: pathlib.Path) -> None:
+    """The settings contain an address that this process then does not serve.
 
-    A caller there must be refused, not left waiting for nobody.
+    A caller must be refused there instead of waiting forever.
     """
     path, front, peers = _settings(tmp_path)
     early_bind.listen_all(str(path))
@@ -79,11 +78,11 @@
         socket.create_connection(("127.0.0.1", peers), timeout=5.0)
     except ConnectionRefusedError:
         return
-    raise AssertionError("somebody listens")
+    raise AssertionError("the unclaimed address still accepts connections")
 
 
-def test_settings_that_cannot_be_read_bind_nothing(tmp_path: pathlib.Path) -> None:
-    """The file is half written; the command, not this, tells the operator."""
+def test_unreadable_settings_bind_no_socket(tmp_path: pathlib.Path) -> None:
+    """The file is half written; the command reports that later."""
     path = tmp_path / "settings.toml"
     for text in ("front = ", 'gateway = 3\npeer_listen = "nowhere"'):
         path.write_text(text)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Failure domains that the operator takes out of use, seen by callers and servers."""
+"""Evacuated failure domains, which operators have taken out of use."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 def _split(site: fakes.Site) -> tuple[standins.Engine, standins.Engine]:
-    """Put the second engine into another failure domain."""
+    """Move the second engine to another failure domain."""
     site.enlist(site.engines[1], zone="b")
     return site.engines[0], site.engines[1]
 
@@ -42,17 +42,17 @@
     fakes.run(work)
 
 
-def test_what_runs_in_an_evacuated_domain_ends_in_peace() -> None:
-    """A stream that was begun before the evacuation is not cut off by it."""
-    going_on = asyncio.Event()
+def test_streams_in_an_evacuated_domain_complete() -> None:
+    """A stream that began before the evacuation is not interrupted by it."""
+    may_continue = asyncio.Event()
 
     async def slowly(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
         await standins.begin(request, writer)
         await standins.pieces(request, writer, 2)
-        await going_on.wait()
-        await raw_servers_rest(writer)
+        await may_continue.wait()
+        await write_rest(writer)
 
-    async def raw_servers_rest(writer: raw_servers.Writer) -> None:
+    async def write_rest(writer: raw_servers.Writer) -> None:
         for number in range(2, standins.PIECES):
             event = b"id: %d\ndata: piece %d\n\n" % (number, number)
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
@@ -67,7 +67,7 @@
             await asyncio.sleep(0.02)
         site.store.put("op/evacuate/a", {})
         await _until(site, ["a"])
-        going_on.set()
+        may_continue.set()
         got = await asking
         assert (got.status, got.complete) == (200, True)
         assert got.body == standins.stream()
@@ -76,7 +76,7 @@
 
 
 def test_with_all_domains_evacuated_callers_are_refused_at_once() -> None:
-    """The refusal says "not run", and when to come back."""
+    """The refusal has the outcome "not run" and a Retry-After header."""
 
     async def work(site: fakes.Site) -> None:
         site.store.put("op/evacuate/a", {})
@@ -108,14 +108,14 @@
     fakes.run(work)
 
 
-def test_an_evacuation_is_heard_by_a_daemon_that_cannot_read_the_store() -> None:
-    """The store turns one instance away; the other one tells it."""
+def test_an_evacuation_reaches_a_daemon_that_cannot_read_the_store() -> None:
+    """One instance cannot reach the store and gets the evacuation from the other."""
 
     async def work(site: fakes.Site) -> None:
         _, leaves = _split(site)
         await asyncio.sleep(0.3)
-        deaf = site.daemons[1]._servers
-        deaf._store = store.ServersStore(site.http, "127.0.0.1:9")
+        isolated = site.daemons[1]._servers
+        isolated._store = store.ServersStore(site.http, "127.0.0.1:9")
         site.store.put(EVACUATION, {})
         await _until(site, ["b"])
         site.settings.reverse()
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Arbitrary bytes and texts at every place where the daemon reads them."""
+"""Fuzz tests of every parser in the daemon that reads external input."""
 
 import asyncio
 import typing
@@ -63,7 +63,7 @@
 
 @REPEATABLE
 @hypothesis.given(strategies.binary(max_size=200) | FRAMES)
-def test_an_arbitrary_frame_is_a_fault_or_a_message(content):
+def test_an_arbitrary_frame_raises_invalid_frame_or_is_a_message(content):
     data = content
     if isinstance(content, tuple):
         data = msgpack.packb([content[0], *content[1]])
@@ -82,7 +82,7 @@
     strategies.integers(0, 40),
     strategies.text(max_size=20),
 )
-def test_a_damaged_text_is_refused_or_accepted_whole(text, place, length, inserted):
+def test_a_damaged_text_raises_a_schema_error_or_is_read(text, place, length, inserted):
     damaged = text[: place % len(text)] + inserted + text[place % len(text) + length :]
     read: typing.Callable[[str], object] = texts.read_settings
     if text is owner_fakes.FLEET:
@@ -97,15 +97,15 @@
     "garbage", [b"\xc1", b"GET / HTTP/1.1\r\n\r\n", msgpack.packb([99]), b"\x91\xa1x"]
 )
 def test_a_bad_frame_closes_its_own_connection_only(garbage):
-    """Operators see one refused peer; the other instances go on talking."""
+    """One peer is refused; links to other instances are not affected."""
 
     async def work() -> None:
         settings = texts.read_settings(owner_fakes.SETTINGS)
         named = texts.read_settings(owner_fakes.SETTINGS.replace("cq-1", "cq-2"))
         listening = peers.Peers(settings, "0123456789ab")
         dialling = peers.Peers(named, "ba9876543210")
-        heard: list[object] = []
-        listening.on(messages.NotKeeper, lambda link, message: heard.append(message))
+        received: list[object] = []
+        listening.on(messages.NotKeeper, lambda link, message: received.append(message))
         await listening.start()
         try:
             await owner_fakes.until(
@@ -121,7 +121,7 @@
             link = dialling.link("cq-1", listening.address)
             assert link is not None
             assert link.send(messages.NotKeeper("1"))
-            await owner_fakes.until(lambda: bool(heard))
+            await owner_fakes.until(lambda: bool(received))
         finally:
             await dialling.stop()
             await listening.stop()
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Logs that never hold the process up."""
+"""Logging that never blocks the process."""
 
 import logging
 import os
@@ -11,11 +11,11 @@
     return logging.LogRecord("x", level, "", 0, f"line {number}", (), None)
 
 
-def test_a_reader_that_stands_still_costs_lines_and_no_time() -> None:
-    """The log collector stops reading: the pipe is full after 64 KB.
+def test_a_stalled_reader_causes_dropped_lines_but_no_blocking() -> None:
+    """The log collector stops reading, and the pipe is full after 64 KB.
 
-    Writing goes on being instant; once it reads again, it learns how many lines were
-    left out, and gets the newest ones.
+    Logging does not block. Once the collector reads again, it gets the number of
+    dropped lines and the newest ones.
     """
     reading, writing = os.pipe()
     writer = log_writer.Writer(writing)
@@ -26,7 +26,7 @@
     for number in range(log_writer.MAX_BUFFERED_LINES * 2):
         writer.emit(_record(number, logging.WARNING))
     spent = time.monotonic() - began
-    # Generous: blocked on the pipe it would never end.
+    # The limit is generous: if emit blocked on the pipe, the loop would never end.
     assert spent < 20.0
     got = b""
     while b"log_lines_left_out" not in got:
@@ -37,7 +37,7 @@
     os.close(writing)
 
 
-def test_a_flood_of_lines_is_cut_and_warnings_are_kept() -> None:
+def test_lines_above_the_rate_limit_are_dropped_except_warnings() -> None:
     reading, writing = os.pipe()
     writer = log_writer.Writer(writing)
     for number in range(log_writer.MAX_LINES_PER_SECOND * 3):
@@ -52,7 +52,7 @@
     os.close(writing)
 
 
-def test_a_reader_that_has_gone_stops_nothing() -> None:
+def test_a_closed_pipe_raises_no_error() -> None:
     reading, writing = os.pipe()
     os.close(reading)
     writer = log_writer.Writer(writing)
--- a/tests/test_reloading.py
+++ b/tests/test_reloading.py
@@ -10,7 +10,7 @@
 from cassiaquay_schema import settings as settings_schema
 from cassiaquay_schema import texts
 
-# Imported for what they register.
+# Imported because they register policies and adapters.
 REGISTERED = (keeper, store)
 
 TEXT = """
@@ -35,7 +35,7 @@
     return file, taken
 
 
-def test_changed_settings_are_taken_in(tmp_path: pathlib.Path) -> None:
+def test_changed_settings_are_applied(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "settings.toml"
     file, taken = _watch(path)
     assert not taken
@@ -47,7 +47,7 @@
 
 
 def test_a_half_written_file_changes_nothing(tmp_path: pathlib.Path) -> None:
-    """The platform writes the file anew and the process looks in the middle."""
+    """The process reads the file while the platform is rewriting it."""
     path = tmp_path / "settings.toml"
     file, taken = _watch(path)
     path.write_text(TEXT[:60])
@@ -78,10 +78,10 @@
 
 
 def test_a_reload_asked_for_while_the_modules_load_ends_nothing() -> None:
-    """A process is started again and its settings change in the same moment.
+    """The settings change while a process restarts.
 
-    The signal comes before the process has loaded what would handle it. By default it
-    ends the process, and callers that were just sent there are refused.
+    SIGHUP arrives before its handler is installed. By default it would kill the
+    process, and callers that were just sent there would be refused.
     """
     done = subprocess.run(
         [sys.executable, "-c", EARLY], capture_output=True, text=True, check=True
--- a/tests/test_renewal.py
+++ b/tests/test_renewal.py
@@ -1,4 +1,4 @@
-"""What an instance waits for before it serves: the platform, neighbours a moment."""
+"""What a starting instance waits for: the platform, and for neighbours only briefly."""
 
 import asyncio
 import typing
@@ -13,49 +13,49 @@
 
 
 class Links(fakes.Links):
-    """Links to neighbours of which some are still being dialled."""
+    """Fake links to neighbours, some of which are not yet connected."""
 
     def __init__(self, up: dict[str, fakes.Owner]):
         super().__init__()
         self.up = up
 
     def link(self, instance: str, address: str) -> fakes.Owner | None:
-        """Return the link of a neighbour that has started."""
+        """Return the link to a neighbour that has started."""
         return self.up.get(instance)
 
     def failed_since(self, instance: str, at: float) -> bool:
-        """Say that no connection has failed: a starting instance queues them."""
+        """Return False: connections to a starting instance wait in its backlog."""
         return False
 
 
 class Members(fakes.Membership):
-    """A fleet that starts: with each look there is another neighbour."""
+    """A starting fleet, in which each call returns another neighbour."""
 
     def __init__(self) -> None:
         super().__init__("cq-1", [])
-        self.looks = 0
+        self.calls = 0
         self.learned: list[messages.Member] = []
 
     def neighbours(self) -> dict[str, str]:
-        """Return one neighbour, never the same."""
-        self.looks += 1
-        return {f"cq-{self.looks + 1}": "h:1"}
+        """Return one neighbour, a different one with each call."""
+        self.calls += 1
+        return {f"cq-{self.calls + 1}": "h:1"}
 
     async def read_list_once(self, source: object) -> None:
-        """Read nothing."""
+        """Do nothing."""
 
     def update(self) -> None:
         """Do nothing."""
 
 
 class Service:
-    """The platform's configuration; the first answers are lost."""
+    """A configuration service whose first responses are lost."""
 
     def __init__(self, lost: int):
         self._lost = lost
 
     async def watch(self, after: int, wait: float) -> platform.Published | None:
-        """Return nothing new, or fail after a while."""
+        """Return None, or fail after a delay."""
         self._lost -= 1
         if self._lost >= 0:
             await asyncio.sleep(0.6)
@@ -65,24 +65,24 @@
 
 
 class Running(Members):
-    """A fleet that runs: one neighbour."""
+    """A running fleet with one neighbour."""
 
     def neighbours(self) -> dict[str, str]:
-        """Return it."""
+        """Return the neighbour."""
         return {"cq-2": "h:1"}
 
 
 class Site:
-    """An instance that starts.
+    """A starting instance with its fakes.
 
     Parameters
     ----------
     lost : int
-        Answers of the platform that are lost.
+        Number of platform responses that are lost.
     members : Members
-        Its fleet.
+        Membership of its fleet.
     up : dict of str to Owner
-        Links of neighbours that run.
+        Links to running neighbours.
     """
 
     def __init__(self, lost: int, members: Members, up: dict[str, fakes.Owner]):
@@ -101,12 +101,12 @@
         )
 
     async def start(self) -> asyncio.Task[None]:
-        """Start it."""
+        """Start the instance."""
         self._renewal.start()
         return asyncio.create_task(self._renewal.run())
 
     async def until_current(self) -> float:
-        """Return how many seconds it takes until it serves."""
+        """Return the seconds until the instance serves."""
         began = clock.now()
         while not self.pauses.current:
             await asyncio.sleep(0.01)
@@ -116,15 +116,13 @@
 @pytest.mark.parametrize(
     ("lost", "least", "most"), [(0, 0.0, 0.4), (1, 0.8, 1.1), (100, 1.9, 2.1)]
 )
-def test_a_fleet_that_starts_does_not_wait_for_all_of_itself(
+def test_a_starting_fleet_does_not_wait_for_all_neighbours(
     lost: int, least: float, most: float
 ) -> None:
-    """All processes were killed and start again at once; the platform answers each.
+    """Guards against refusing callers for seconds while a whole fleet restarts.
 
-    Neighbours come up one after the other, and whoever waits for all refuses its
-    callers for seconds. What the platform says is as new as what any of them knows. It
-    may lose an answer and is asked again; only where it says nothing are neighbours
-    waited for.
+    Neighbours start one after the other, but the platform's text is as new as theirs. A
+    lost response is requested again; neighbours are awaited only if there is none.
     """
 
     async def work() -> float:
@@ -137,10 +135,10 @@
     assert least <= virtual_time.run(work()) <= most
 
 
-def test_neighbours_that_answer_suffice_while_the_platform_is_down() -> None:
-    """An instance starts in a fleet that runs, and the platform is down for long.
+def test_neighbours_answers_suffice_while_the_platform_is_down() -> None:
+    """An instance joins a running fleet during an outage of the platform.
 
-    It serves as soon as its neighbours have answered and the platform was asked once.
+    It serves once its neighbours have answered and one platform query has failed.
     """
 
     async def work() -> float:
