--- a/packages/daemon/cassiaquay_daemon/engines/reconciler.py
+++ b/packages/daemon/cassiaquay_daemon/engines/reconciler.py
@@ -76,7 +76,7 @@
         while True:
             await asyncio.sleep(self._settings.orders.period)
             snapshot = self._configured.current
-            if snapshot is not None and self._pauses.current:
+            if snapshot is not None and self._pauses.is_current:
                 await self.reconcile(snapshot)
 
     async def reconcile(self, snapshot: snapshots.Snapshot) -> None:
@@ -233,7 +233,7 @@
         # Engines that ignore the fencing number obey whoever comes last: so the right
         # to send is checked at the last moment. What slips through is seen and put
         # right by the next reading.
-        if self._configured.current is not snapshot or not self._pauses.current:
+        if self._configured.current is not snapshot or not self._pauses.is_current:
             return
         if not self._is_mine(place):
             return
--- a/packages/daemon/cassiaquay_daemon/gateway/directory.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/directory.py
@@ -50,7 +50,7 @@
         return (
             not self._front.leaving
             and self._configured.current is not None
-            and self._pauses.current
+            and self._pauses.is_current
         )
 
     def directory(self) -> applications.Starlette:
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -258,7 +258,7 @@
         # away: nothing may be sent on what was true before.
         call = known.call
         self._check_quarantine(known)
-        if not self._parts.pauses.current:
+        if not self._parts.pauses.is_current:
             raise exceptions.StaleAfterPause("this process was paused")
         if clock.now() >= min(ticket.expires_at, call.deadline):
             raise exceptions.NotSent("the permit has expired")
--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -329,7 +329,7 @@
             shard.drop_queue()
             self._fresh.pop(name, None)
             return
-        if self._pauses.current and shard.is_open:
+        if self._pauses.is_current and shard.is_open:
             began = clock.now()
             self._policies[name].serve()
             now = clock.now()
--- a/packages/daemon/cassiaquay_daemon/owners/dispatching.py
+++ b/packages/daemon/cassiaquay_daemon/owners/dispatching.py
@@ -211,7 +211,7 @@
         # with a caller that has gone or was told "not run": it must not send.
         if entry.ended or entry.state is not entries.State.WAITING:
             raise exceptions.NotSent("ended meanwhile")
-        if self.pauses is not None and not self.pauses.current:
+        if self.pauses is not None and not self.pauses.is_current:
             raise exceptions.StaleAfterPause("this process was paused")
         if not entry.readers:
             raise exceptions.NotSent("no caller is connected")
--- a/packages/daemon/cassiaquay_daemon/pause.py
+++ b/packages/daemon/cassiaquay_daemon/pause.py
@@ -43,15 +43,15 @@
         self._limit = limit
         self._now = now
         self._checked_at = now()
-        self._current = asyncio.Event()
-        self._current.set()
+        self._is_current = asyncio.Event()
+        self._is_current.set()
         self._on_resume: list[collections.abc.Callable[[], None]] = []
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Whether this instance may grant permits, dispatch and hand out addresses."""
         self._check()
-        return self._current.is_set()
+        return self._is_current.is_set()
 
     def on_resume(self, call: collections.abc.Callable[[], None]) -> None:
         """Call ``call`` after each pause, as soon as it is detected."""
@@ -59,20 +59,20 @@
 
     def hold(self) -> None:
         """Stop this instance from acting until :meth:`release` is called."""
-        self._current.clear()
+        self._is_current.clear()
 
     def release(self) -> None:
         """Let this instance act again."""
         self._check()
-        self._current.set()
+        self._is_current.set()
 
     async def wait(self, seconds: float) -> bool:
         """Wait until this instance may act, at most ``seconds``; return if it may."""
-        if self.current:
+        if self.is_current:
             return True
         try:
             async with asyncio.timeout(seconds):
-                await self._current.wait()
+                await self._is_current.wait()
         except TimeoutError:
             return False
         return True
@@ -93,7 +93,7 @@
         # them would send requests to engines that other instances have filled meanwhile
         # and callers to failed instances; a refresh costs only a round trip.
         self.count += 1
-        self._current.clear()
+        self._is_current.clear()
         logs.trouble("overslept", seconds=round(gap, 3))
         for call in self._on_resume:
             call()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -69,7 +69,9 @@
         async with fleets.fleet() as fleet:
             fleet.published.down = True
             one, two = await fleet.add_many(2)
-            await light.until(lambda: one.pauses.current and two.pauses.current, 10)
+            await light.until(
+                lambda: one.pauses.is_current and two.pauses.is_current, 10
+            )
             assert one.configuration.current is None
             assert one.view == set()
             fleet.published.down = False
@@ -257,9 +259,9 @@
             _, two, _ = await fleet.add_many(3)
             await fleet.agree()
             two.slept += 60.0
-            assert not two.pauses.current
+            assert not two.pauses.is_current
             fleet.published.publish(2, fleets.text(2))
-            await light.until(lambda: two.pauses.current, 10)
+            await light.until(lambda: two.pauses.is_current, 10)
             await fleet.reach(2)
             assert two.pauses.count == 1
             assert two.in_force == [1, 2]
@@ -275,13 +277,13 @@
             one, two = await fleet.add_many(2)
             await fleet.agree()
             two.slept += 60.0
-            assert not two.pauses.current
+            assert not two.pauses.is_current
             link = two.peers.link("cq-1", one.peers.address)
             assert link is not None
             stale = messages.Refreshed(0, 1, one.configuration.digest, [])
             two.peers._handlers[messages.Refreshed](link, stale)
-            assert not two.pauses.current
-            await light.until(lambda: two.pauses.current, 10)
+            assert not two.pauses.is_current
+            await light.until(lambda: two.pauses.is_current, 10)
 
     asyncio.run(run())
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -309,7 +309,7 @@
         async with fleets.fleet() as fleet:
             await fleet.add_many(2)
             stranger = await fleet.add("cq-9", keys=["another key"])
-            await light.until(lambda: stranger.pauses.current, 10)
+            await light.until(lambda: stranger.pauses.is_current, 10)
             await light.until(lambda: fleet.lives["cq-1"].view == {"cq-1", "cq-2"}, 10)
             assert stranger.view == {"cq-9"}
 
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -172,9 +172,9 @@
     watch = Clock()
     pauses = pause.Pauses(1.0, watch.now)
     watch.slept = 0.5
-    assert pauses.current
+    assert pauses.is_current
     watch.slept = 1.7
-    assert not pauses.current
+    assert not pauses.is_current
     assert pauses.count == 1
 
 
--- a/tests/test_renewal.py
+++ b/tests/test_renewal.py
@@ -108,7 +108,7 @@
     async def until_current(self) -> float:
         """Return the seconds until the instance serves."""
         began = clock.now()
-        while not self.pauses.current:
+        while not self.pauses.is_current:
             await asyncio.sleep(0.01)
         return clock.now() - began
 
