--- a/packages/daemon/cassiaquay_daemon/engines/reconciler.py
+++ b/packages/daemon/cassiaquay_daemon/engines/reconciler.py
@@ -78,7 +78,7 @@
         while True:
             await asyncio.sleep(self._settings.orders.period)
             snapshot = self._configured.current
-            if snapshot is not None and self._pauses.current:
+            if snapshot is not None and self._pauses.is_current:
                 await self.reconcile(snapshot)
 
     async def reconcile(self, snapshot: snapshots.Snapshot) -> None:
@@ -241,7 +241,7 @@
         # Engines that ignore the fence obey the last order that arrives, so this
         # keeper's right to send is checked immediately before sending. The next
         # reading detects and corrects an order sent wrongly nevertheless.
-        if self._configured.current is not snapshot or not self._pauses.current:
+        if self._configured.current is not snapshot or not self._pauses.is_current:
             return
         if not self._is_mine(target):
             return
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -269,7 +269,7 @@
         # outdated state.
         call = state.call
         self._check_quarantine(state)
-        if not self._parts.pauses.current:
+        if not self._parts.pauses.is_current:
             raise exceptions.StaleAfterPause("this process was paused")
         if clock.now() >= min(ticket.expires_at, call.deadline):
             raise exceptions.NotSent("the permit has expired")
--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -335,7 +335,7 @@
             shard.drop_queue()
             self._unacknowledged.pop(name, None)
             return
-        if self._pauses.current and shard.is_open:
+        if self._pauses.is_current and shard.is_open:
             started_at = clock.now()
             self._policies[name].serve()
             now = clock.now()
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -85,7 +85,7 @@
         )
         self._parts = parts
         self._teams = top_counts.TopCounts(report_settings.heaviest_teams)
-        logs.also(self.history)
+        logs.add_handler(self.history)
         parts.owned.on_ended(self.ended)
         parts.owned.on_wasted(self.wasted)
 
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -172,9 +172,9 @@
     jumping_clock = Clock()
     pauses = pause.Pauses(1.0, jumping_clock.now)
     jumping_clock.paused_seconds = 0.5
-    assert pauses.current
+    assert pauses.is_current
     jumping_clock.paused_seconds = 1.7
-    assert not pauses.current
+    assert not pauses.is_current
     assert pauses.count == 1
 
 
--- a/tests/test_reloading.py
+++ b/tests/test_reloading.py
@@ -10,7 +10,7 @@
 from cassiaquay_schema import settings as settings_schema
 from cassiaquay_schema import texts
 
-# Imported for what they register.
+# Imported because they register policies and adapters.
 REGISTERED = (keeper, store)
 
 TEXT = """
@@ -31,32 +31,32 @@
     file = reloading.Reloading(path, texts.read_settings(TEXT))
     taken: list[settings_schema.Settings] = []
     file.on_change(taken.append)
-    file.look()
+    file.reload_if_changed()
     return file, taken
 
 
-def test_changed_settings_are_taken_in(tmp_path: pathlib.Path) -> None:
+def test_changed_settings_are_applied(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "settings.toml"
     file, taken = _watch(path)
     assert not taken
     path.write_text(TEXT.replace("0.2", "0.3"))
-    file.look()
+    file.reload_if_changed()
     assert [found.gateway.retry_share for found in taken] == [0.3]
-    file.look()
+    file.reload_if_changed()
     assert len(taken) == 1
 
 
 def test_a_half_written_file_changes_nothing(tmp_path: pathlib.Path) -> None:
-    """The platform writes the file anew and the process looks in the middle."""
+    """The process reads the file while the platform is rewriting it."""
     path = tmp_path / "settings.toml"
     file, taken = _watch(path)
     path.write_text(TEXT[:60])
-    file.look()
+    file.reload_if_changed()
     path.unlink()
-    file.look()
+    file.reload_if_changed()
     assert not taken
     path.write_text(TEXT.replace("10.0.0.1:1", "10.0.0.2:1"))
-    file.look()
+    file.reload_if_changed()
     assert [found.seeds for found in taken] == [["10.0.0.2:1"]]
 
 
@@ -78,10 +78,10 @@
 
 
 def test_a_reload_asked_for_while_the_modules_load_ends_nothing() -> None:
-    """A process is started again and its settings change in the same moment.
+    """The settings change while a process restarts.
 
-    The signal comes before the process has loaded what would handle it. By default it
-    ends the process, and callers that were just sent there are refused.
+    SIGHUP arrives before its handler is installed. By default it would kill the
+    process, and callers that were just sent there would be refused.
     """
     done = subprocess.run(
         [sys.executable, "-c", EARLY], capture_output=True, text=True, check=True
