--- a/packages/daemon/cassiaquay_daemon/keepers/floors.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/floors.py
@@ -66,14 +66,16 @@
     ----------
     links : Peers
         Connections to other keepers.
-    kept : Role
+    local_keeper : Role
         This instance's keeper role.
     pool_shards : Siblings
         The other shards of the pools and their keepers.
     """
 
-    def __init__(self, links: peers.Peers, kept: Role, pool_shards: siblings.Siblings):
-        self._kept = kept
+    def __init__(
+        self, links: peers.Peers, local_keeper: Role, pool_shards: siblings.Siblings
+    ):
+        self._local_keeper = local_keeper
         self._siblings = pool_shards
         self._floor_requests: dict[tuple[str, str], FloorRequest] = {}
         links.on(messages.Floor, self.floor)
@@ -89,7 +91,7 @@
 
     def floor(self, replier: shards.Replier, message: messages.Floor) -> None:
         """Handle another shard's request for a floor and acknowledge it."""
-        if not self._kept.hold(message):
+        if not self._local_keeper.hold(message):
             # No answer: the sender times out, or learns which instance is the keeper.
             return
         replier.send(messages.FloorHeld(message.shard, message.source, message.rank))
@@ -97,8 +99,8 @@
     def held(self, replier: shards.Replier, message: messages.FloorHeld) -> None:
         """Handle another shard's acknowledgement of a floor."""
         self._record_held(message.source, message.shard, message.rank)
-        if message.source in self._kept.shards:
-            self._kept.serve_soon(message.source)
+        if message.source in self._local_keeper.shards:
+            self._local_keeper.serve_soon(message.source)
 
     def _is_held(self, source: str, shard: str, rank: int) -> bool:
         now = clock.now()
@@ -122,7 +124,7 @@
         message = messages.Floor(shard, source, request.rank, hold_ms)
         if self._siblings.send(self._siblings.keeper_of(shard), message):
             return
-        if self._kept.hold(message):
+        if self._local_keeper.hold(message):
             self._record_held(source, shard, request.rank)
 
     def _record_held(self, source: str, shard: str, rank: int) -> None:
--- a/packages/daemon/cassiaquay_daemon/keepers/quotas.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/quotas.py
@@ -94,7 +94,7 @@
     at: float
 
 
-class Amounts(typing.Protocol):
+class TokenCounts(typing.Protocol):
     """Token counts that a request states."""
 
     @property
@@ -160,7 +160,7 @@
         self._gateway = settings.gateway
 
     async def take(
-        self, team: routing.Team | None, facts: Amounts, patience: float = 0.0
+        self, team: routing.Team | None, facts: TokenCounts, patience: float = 0.0
     ) -> Taken | None:
         """Take a request's units from its team's limit; raise LimitReached when over.
 
@@ -171,7 +171,7 @@
         ----------
         team : Team or None
             The team that sent the request.
-        facts : Amounts
+        facts : TokenCounts
             The token counts that it states.
         patience : float
             Seconds that it may wait for units.
@@ -186,16 +186,16 @@
         if not own_wait:
             return Taken(units, own)
         keeper = self._membership.keeper_of(_limit_key(team.name))
-        given = await self._query_keeper(
+        answer = await self._query_keeper(
             keeper, team.name, units, min(patience, own_wait)
         )
-        if given.units:
-            taken = Taken(units, keeper=keeper, number=given.number)
-            return await self._wait_reserved(taken, given.wait_ms / 1000.0)
+        if answer.units:
+            taken = Taken(units, keeper=keeper, number=answer.number)
+            return await self._wait_reserved(taken, answer.wait_ms / 1000.0)
         own_wait = own.reserve(units, flow, patience)
         if own_wait <= patience:
             return await self._wait_reserved(Taken(units, own), own_wait)
-        raise _refusal(team.name, own_wait * 1000.0, given.wait_ms)
+        raise _refusal(team.name, own_wait * 1000.0, answer.wait_ms)
 
     def give_back(self, taken: Taken) -> None:
         """Return the units of a request that was not run; call it once per request."""
@@ -288,13 +288,13 @@
         # keeper's part that corresponds to the instances on its side.
         alive_share = len(self._membership.alive()) / self._membership.fleet_size()
         flow = self._flow(quota).part((1.0 - self._own_part()) * min(alive_share, 1.0))
-        given = _bucket_of(self._granted, query.team, self._granted_from)
+        bucket = _bucket_of(self._granted, query.team, self._granted_from)
         patience = query.patience_ms / 1000.0
-        wait = given.reserve(query.units, flow, patience)
+        wait = bucket.reserve(query.units, flow, patience)
         wait_ms = math.ceil(min(wait * 1000.0, MAX_RETRY_MS))
         if wait > patience:
             return messages.QuotaAnswer(query.number, 0, wait_ms)
-        self._record_grant(instance, query, given)
+        self._record_grant(instance, query, bucket)
         return messages.QuotaAnswer(query.number, query.units, wait_ms)
 
     def _record_grant(
@@ -306,17 +306,17 @@
             if self._returnable[oldest].at > now - RETURN_WINDOW_SECONDS:
                 break
             del self._returnable[oldest]
-        given = _Grant(bucket, query.units, now)
-        self._returnable[(instance, query.number)] = given
+        grant = _Grant(bucket, query.units, now)
+        self._returnable[(instance, query.number)] = grant
 
     def _accept_return(self, instance: str, message: messages.QuotaReturn) -> None:
         # Accept only grants of this process, and each once: the previous keeper had its
         # own bucket, and crediting units that this one never granted would let the team
         # exceed its limit. A grant made before the role was lost is returned to the
         # dropped bucket, which no request spends from.
-        given = self._returnable.pop((instance, message.number), None)
-        if given is not None:
-            given.bucket.put_back(given.units)
+        grant = self._returnable.pop((instance, message.number), None)
+        if grant is not None:
+            grant.bucket.put_back(grant.units)
 
     def _quota(self, team: str) -> routing.Quota | None:
         snapshot = self._configured.current
@@ -336,7 +336,7 @@
             pending.answer.set_result(answer)
 
 
-def units_of(quota: routing.Quota, facts: Amounts) -> int:
+def units_of(quota: routing.Quota, facts: TokenCounts) -> int:
     """Return the units that a request takes from a limit."""
     if not quota.counts_tokens:
         return 1
@@ -361,7 +361,7 @@
 def _bucket_of(
     existing: dict[str, buckets.Bucket], team: str, empty_at: float
 ) -> buckets.Bucket:
-    found = existing.get(team)
-    if found is None:
-        found = existing[team] = buckets.Bucket(empty_at)
-    return found
+    bucket = existing.get(team)
+    if bucket is None:
+        bucket = existing[team] = buckets.Bucket(empty_at)
+    return bucket
--- a/packages/daemon/cassiaquay_daemon/keepers/spillover.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/spillover.py
@@ -65,14 +65,16 @@
     ----------
     links : Peers
         Connections to other keepers.
-    kept : Role
+    local_keeper : Role
         This instance's keeper role.
     pool_shards : Siblings
         The other shards of the pools and their keepers.
     """
 
-    def __init__(self, links: peers.Peers, kept: Role, pool_shards: siblings.Siblings):
-        self._kept = kept
+    def __init__(
+        self, links: peers.Peers, local_keeper: Role, pool_shards: siblings.Siblings
+    ):
+        self._local_keeper = local_keeper
         self._siblings = pool_shards
         self._reports: dict[str, _Report] = {}
         links.on(messages.Waits, self.on_waits)
@@ -107,8 +109,8 @@
 
     def report_waits(self) -> None:
         """Report the waits of the shards kept here to the keepers of their siblings."""
-        for name, shard in self._kept.shards.items():
-            if not self._kept.keeps(name):
+        for name, shard in self._local_keeper.shards.items():
+            if not self._local_keeper.keeps(name):
                 continue
             others = self._siblings.of(name)
             if not others:
--- a/packages/daemon/cassiaquay_daemon/owners/dispatching.py
+++ b/packages/daemon/cassiaquay_daemon/owners/dispatching.py
@@ -68,7 +68,7 @@
     http : ClientSession
         Connections to backend servers.
     requests : Table
-        The owner's requests; updated when a request is dispatched or its outcome found.
+        The owner's requests; receives dispatches and late outcomes.
     is_leaving : callable
         Returns whether the instance list shows a backend server as leaving.
     """
--- a/packages/daemon/cassiaquay_daemon/owners/recovery.py
+++ b/packages/daemon/cassiaquay_daemon/owners/recovery.py
@@ -64,17 +64,17 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             probes.append((task, recovered))
-        found = await _first_found([recovered for _, recovered in probes])
+        stream = await _first_found([recovered for _, recovered in probes])
         for task, recovered in probes:
-            if recovered is not found:
+            if recovered is not stream:
                 task.cancel()
-        if found is None:
+        if stream is None:
             self.not_found += 1
             raise exceptions.OwnerGone()
         self.recovered += 1
         logs.event("recovered", key=key)
-        self._streams[key] = found
-        return found
+        self._streams[key] = stream
+        return stream
 
     async def cancel(
         self, key: str, snapshot: snapshots.Snapshot, service: str
@@ -88,13 +88,13 @@
     def _candidate_servers(
         self, snapshot: snapshots.Snapshot, service: str
     ) -> list[tuple[backends.Backend, fleet.Server]]:
-        found = []
+        candidates = []
         for name, pool in snapshot.fleet.pools.items():
             if service and snapshot.fleet.services[service].pool != name:
                 continue
             backend = self._backends[pool.adapter]
-            found += [(backend, server) for server in pool.servers]
-        return found
+            candidates += [(backend, server) for server in pool.servers]
+        return candidates
 
     async def _stop(
         self, backend: backends.Backend, server: fleet.Server, key: str
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -39,9 +39,9 @@
 
 
 class Members(fakes.Membership):
-    """Membership of a fleet of nine, of which ``heard`` instances are reachable."""
+    """Membership of a fleet of nine, of which ``reachable`` instances are reachable."""
 
-    heard = 9
+    reachable = 9
 
     def fleet_size(self) -> int:
         """Return nine, also in a partition."""
@@ -49,7 +49,7 @@
 
     def alive(self) -> list:
         """Return the reachable instances."""
-        return [None] * self.heard
+        return [None] * self.reachable
 
 
 class Configured(fakes.Configured):
@@ -153,17 +153,17 @@
     Each partition has its own keeper of the limit. All instances spend as much as they
     can in one window; the sum stays under the fleet's bound and uses most of it.
     """
-    heard = 9 // parts
+    reachable = 9 // parts
 
     async def run() -> None:
         fleet = []
         for _ in range(parts):
             keeping = Members("cq-1", [])
-            keeping.heard = heard
+            keeping.reachable = reachable
             fleet.append(_quotas(keeping))
             # The other instances of the partition spend only their own shares, since
             # the keeper's own requests use up its part.
-            for _ in range(heard - 1):
+            for _ in range(reachable - 1):
                 fleet.append(_quotas(Members("cq-0", [])))
         spent = await _spend_window(time, fleet, 5)
         assert spent <= BOUND
@@ -272,7 +272,7 @@
     """
 
     class Many(Members):
-        heard = 90
+        reachable = 90
 
         def fleet_size(self) -> int:
             return 90
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -66,10 +66,10 @@
 
     async def work() -> None:
         site = Site()
-        asker = site.others[0]
-        site.keeper.demand(asker, fakes.demand("waits"))
+        demanding_owner = site.others[0]
+        site.keeper.demand(demanding_owner, fakes.demand("waits"))
         await _run_pending()
-        assert not asker.permits()
+        assert not demanding_owner.permits()
         for owner in site.others:
             assert messages.RenewalQuery(fakes.SHARD) in owner.sent
         dispatched = []
@@ -78,11 +78,11 @@
             dispatched.append(item)
         site.keeper.renewal(site.others[1], messages.Renewal(fakes.SHARD, dispatched))
         await _run_pending()
-        assert not asker.permits()
-        site.keeper.renewal(asker, messages.Renewal(fakes.SHARD, []))
+        assert not demanding_owner.permits()
+        site.keeper.renewal(demanding_owner, messages.Renewal(fakes.SHARD, []))
         await _run_pending()
         assert site.shard().count_on("tutor-1") == 32
-        assert asker.permits()["waits"] != "tutor-1"
+        assert demanding_owner.permits()["waits"] != "tutor-1"
 
     _run(work)
 
@@ -92,16 +92,16 @@
 
     async def work() -> None:
         site = Site()
-        asker = site.others[0]
-        site.keeper.demand(asker, fakes.demand("waits"))
-        site.keeper.renewal(asker, messages.Renewal(fakes.SHARD, []))
+        demanding_owner = site.others[0]
+        site.keeper.demand(demanding_owner, fakes.demand("waits"))
+        site.keeper.renewal(demanding_owner, messages.Renewal(fakes.SHARD, []))
         await _run_pending()
-        assert not asker.permits()
+        assert not demanding_owner.permits()
         for _ in range(2):
             time.now += RENEW_SECONDS * 0.75
-            site.keeper.demand(asker, fakes.demand("waits"))
+            site.keeper.demand(demanding_owner, fakes.demand("waits"))
             await _run_pending()
-        assert "waits" in asker.permits()
+        assert "waits" in demanding_owner.permits()
 
     _run(work)
 
@@ -115,16 +115,16 @@
 
     async def work() -> None:
         site = Site()
-        asker = site.others[0]
-        site.keeper.demand(asker, fakes.demand("waits"))
+        demanding_owner = site.others[0]
+        site.keeper.demand(demanding_owner, fakes.demand("waits"))
         site.members.move("cq-2")
         site.open()
         await _run_pending()
         assert not site.shard().queue
-        site.keeper.demand(asker, fakes.demand("waits"))
+        site.keeper.demand(demanding_owner, fakes.demand("waits"))
         await _run_pending()
-        assert not asker.permits()
-        assert asker.sent[-1] == messages.NotKeeper("waits", "cq-2")
+        assert not demanding_owner.permits()
+        assert demanding_owner.sent[-1] == messages.NotKeeper("waits", "cq-2")
 
     _run(work)
 
@@ -138,14 +138,14 @@
 
     async def work() -> None:
         site = Site()
-        asker = site.others[0]
-        site.keeper.renewal(asker, messages.Renewal(fakes.SHARD, []))
-        site.keeper.demand(asker, fakes.demand("stale", remaining_ms=60_000))
+        demanding_owner = site.others[0]
+        site.keeper.renewal(demanding_owner, messages.Renewal(fakes.SHARD, []))
+        site.keeper.demand(demanding_owner, fakes.demand("stale", remaining_ms=60_000))
         time.now += 10.0
         ticking = asyncio.create_task(site.keeper.tick())
         await _run_pending()
         ticking.cancel()
-        assert not asker.permits()
+        assert not demanding_owner.permits()
         assert not site.shard().queue
         assert not site.shard().is_open
 
@@ -156,7 +156,7 @@
     """An owner fails without closing its connection: its demand leaves the queue."""
     shard = fakes.shard({"a": 1})
     owner = fakes.Owner()
-    shard.add(fakes.demand("gone"), owner)
+    shard.add(fakes.demand("expired"), owner)
     time.now += 2.0
     shard.add(fakes.demand("alive"), owner)
     time.now += 1.0
@@ -213,12 +213,12 @@
 
     async def work() -> None:
         site = Site()
-        demand = fakes.demand("given-up")
-        asking = asyncio.create_task(site.demands.obtain(demand, time.now + 5.0))
+        demand = fakes.demand("cancelled")
+        obtaining = asyncio.create_task(site.demands.obtain(demand, time.now + 5.0))
         await _run_pending()
-        assert "given-up" in site.shard().queue
-        asking.cancel()
-        await asyncio.gather(asking, return_exceptions=True)
+        assert "cancelled" in site.shard().queue
+        obtaining.cancel()
+        await asyncio.gather(obtaining, return_exceptions=True)
         assert not site.shard().queue
 
     _run(work)
@@ -264,13 +264,13 @@
         site = Site(keeps=False)
         old, new = site.others
         demand = fakes.demand("asks")
-        asking = asyncio.create_task(site.demands.obtain(demand, time.now + 5.0))
+        obtaining = asyncio.create_task(site.demands.obtain(demand, time.now + 5.0))
         await _run_pending()
         site.demands.answer(old, messages.NotKeeper("asks", "cq-3"))
         assert [type(item) for item in new.sent] == [messages.Demand]
         permit = messages.Permit("asks", "tutor-2", 1500, fakes.SHARD)
         site.demands.answer(new, permit)
-        assert (await asking).server == "tutor-2"
+        assert (await obtaining).server == "tutor-2"
 
     _run(work)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -53,7 +53,7 @@
 
 
 def test_a_chunk_leaves_permits_for_the_other_owners(time) -> None:
-    """One owner wants the permits of a whole second for one waiting request."""
+    """One owner requests the permits of a whole second for one waiting request."""
     members = fakes.Membership("cq-1", [])
     limit_keeper = _keeper(RATE, members)
     first, second = fakes.Owner("cq-1"), fakes.Owner("cq-2")
--- a/tests/test_quota_schedules.py
+++ b/tests/test_quota_schedules.py
@@ -270,11 +270,11 @@
 
 def _mutate_returns(monkeypatch: pytest.MonkeyPatch) -> None:
     """Mutant: a keeper accepts returns of grants that the previous keeper made."""
-    take_back = quotas.Quotas._accept_return
+    accept_return = quotas.Quotas._accept_return
 
-    def accept_any(self, asker, message) -> None:
-        if (asker, message.number) in self._returnable:
-            take_back(self, asker, message)
+    def accept_any(self, instance, message) -> None:
+        if (instance, message.number) in self._returnable:
+            accept_return(self, instance, message)
             return
         quotas._bucket_of(self._granted, "blue", self._granted_from).put_back(90)
 
