--- a/tests/owner_fakes.py
+++ b/tests/owner_fakes.py
@@ -139,7 +139,7 @@
     def __init__(self) -> None:
         self.open = True
         self.lifetime = 10.0
-        self.asked: list[messages.Demand] = []
+        self.demands_received: list[messages.Demand] = []
         self.given_back: list[str] = []
         self.released: list[messages.Release] = []
         self.changed = asyncio.Event()
@@ -147,7 +147,7 @@
     async def obtain(
         self, demand: messages.Demand, deadline: float
     ) -> demands.Permission:
-        self.asked.append(demand)
+        self.demands_received.append(demand)
         while not self.open:
             await self.changed.wait()
         server = "p-1" if demand.shard.startswith("plain") else "e-1"
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -347,7 +347,7 @@
         bench = owner_fakes.Bench()
         bench.keepers.open = False
         entry = bench.submit(bench.new_id())
-        await owner_fakes.until(lambda: bool(bench.keepers.asked))
+        await owner_fakes.until(lambda: bool(bench.keepers.demands_received))
         bench.owner.detach(entry, False)
         bench.keepers.let_through()
         await owner_fakes.until(lambda: bool(bench.keepers.given_back))
@@ -370,7 +370,7 @@
         bench = owner_fakes.Bench()
         bench.servers.connecting = asyncio.Event()
         entry = bench.submit(bench.new_id(), deadline_ms=20000)
-        await owner_fakes.until(lambda: bool(bench.keepers.asked))
+        await owner_fakes.until(lambda: bool(bench.keepers.demands_received))
         with owner_fakes.later(monkeypatch, 60.0):
             bench.servers.connecting.set()
             await owner_fakes.until(lambda: bool(bench.keepers.given_back))
@@ -390,7 +390,7 @@
         bench = owner_fakes.Bench()
         bench.servers.connecting = asyncio.Event()
         entry = bench.submit(bench.new_id())
-        await owner_fakes.until(lambda: bool(bench.keepers.asked))
+        await owner_fakes.until(lambda: bool(bench.keepers.demands_received))
         bench.leaving.add("e-1")
         bench.servers.connecting.set()
         assert (await owner_fakes.ended(entry))["outcome"] == "completed"
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -223,7 +223,7 @@
             bench.keepers.open = False
             url = f"http://{second.address}/v1/requests/{bench.new_id().text}"
             asking = asyncio.create_task(http.post(url, data=BODY, headers=JSON))
-            await owner_fakes.until(lambda: bool(bench.keepers.asked))
+            await owner_fakes.until(lambda: bool(bench.keepers.demands_received))
             members.alive.clear()
             async with await asking as response:
                 assert response.status == 502
