--- a/packages/daemon/cassiaquay_daemon/keepers/floors.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/floors.py
@@ -78,8 +78,8 @@
         self._local_keeper = local_keeper
         self._siblings = pool_shards
         self._floor_requests: dict[tuple[str, str], FloorRequest] = {}
-        links.on(messages.Floor, self.floor)
-        links.on(messages.FloorHeld, self.held)
+        links.on(messages.Floor, self.on_floor)
+        links.on(messages.FloorHeld, self.on_floor_held)
 
     def may_shed(self, source: str, rank: int) -> bool:
         """Return whether a shard may shed a rank now; request floors if not yet."""
@@ -89,14 +89,16 @@
                 is_ready = False
         return is_ready
 
-    def floor(self, replier: shards.Replier, message: messages.Floor) -> None:
+    def on_floor(self, replier: shards.Replier, message: messages.Floor) -> None:
         """Handle another shard's request for a floor and acknowledge it."""
         if not self._local_keeper.hold(message):
             # No answer: the sender times out, or learns which instance is the keeper.
             return
         replier.send(messages.FloorHeld(message.shard, message.source, message.rank))
 
-    def held(self, replier: shards.Replier, message: messages.FloorHeld) -> None:
+    def on_floor_held(
+        self, replier: shards.Replier, message: messages.FloorHeld
+    ) -> None:
         """Handle another shard's acknowledgement of a floor."""
         self._record_held(message.source, message.shard, message.rank)
         if message.source in self._local_keeper.shards:
