--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -1,4 +1,4 @@
-"""Daemons with a store and engines for the gateway's tests, byte by byte."""
+"""Daemons with fakes of the store and the engines for the gateway's tests."""
 
 import asyncio
 import collections.abc
@@ -15,13 +15,13 @@
 from cassiaquay_dev.standins import raw_servers
 from cassiaquay_schema import settings as settings_schema
 
-# Imported for what they register.
+# Imported because they register adapters.
 ADAPTERS = (documents, store)
-SECONDS = 15.0
+TIMEOUT_SECONDS = 15.0
 
 
 class Site:
-    """A store, two engines and some daemons before them."""
+    """A fake store, two fake engines and some daemons that use them."""
 
     def __init__(self) -> None:
         self.store = standins.Store()
@@ -33,12 +33,12 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, count: int = 1) -> None:
-        """Start everything and wait until it serves."""
+        """Start the store, the engines and ``count`` daemons; wait until ready."""
         self.http = aiohttp.ClientSession()
         await self.store.start()
         for engine in self.engines:
             await engine.start()
-            self.enlist(engine)
+            self.register(engine)
         self.store.put("op/config", standins.configuration())
         seeds = [f"127.0.0.1:{ports.free_port()}" for _ in range(count)]
         for number in range(count):
@@ -46,7 +46,7 @@
         for found in self.settings:
             await self.until_ready(found)
 
-    def enlist(self, engine: standins.Engine, **more: object) -> None:
+    def register(self, engine: standins.Engine, **more: object) -> None:
         """Register an engine for both services."""
         for service in ("chat", "plain"):
             entry = {
@@ -96,7 +96,7 @@
         self._tasks.append(asyncio.create_task(made.run()))
 
     async def until_ready(self, settings: settings_schema.Settings) -> None:
-        """Wait until a daemon is ready and knows its servers."""
+        """Wait until a daemon is ready and has read the registered servers."""
         url = f"http://{settings.gateway.ready}/cassiaquay/ready"
         while True:
             with contextlib.suppress(aiohttp.ClientError):
@@ -115,8 +115,8 @@
         body: bytes = b"b",
         at: int = 0,
         **headers: str,
-    ) -> "Got":
-        """Send a request to one daemon as a caller and read its answer to the end."""
+    ) -> "CallerResponse":
+        """Send a request to one daemon as a caller and read the complete answer."""
         self._count += 1
         attempt = f"attempt{self._count}"
         pairs = {
@@ -143,17 +143,17 @@
             except aiohttp.ClientPayloadError:
                 complete = False
             found = {name.lower(): value for name, value in response.headers.items()}
-            return Got(attempt, response.status, found, read, complete)
+            return CallerResponse(attempt, response.status, found, read, complete)
 
-    def engine_of(self, attempt: str) -> list[standins.Engine]:
-        """Return the engines that got an attempt, as often as they did."""
+    def engines_of(self, attempt: str) -> list[standins.Engine]:
+        """Return the engines that ran an attempt, one entry for each run."""
         found = []
         for engine in self.engines:
             found += [engine] * engine.runs.count(attempt)
         return found
 
-    def let(self, act: raw_servers.Respond) -> None:
-        """Let the first run of each attempt be answered by ``act``, others well."""
+    def answer_first_run_with(self, respond: raw_servers.Respond) -> None:
+        """Answer the first run of each attempt by ``act``, further runs normally."""
         seen: set[str] = set()
 
         async def once(
@@ -163,13 +163,13 @@
                 await standins.whole(request, writer)
                 return
             seen.add(request.attempt)
-            await act(request, writer)
+            await respond(request, writer)
 
         for engine in self.engines:
             engine.act = once
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the daemons, the store and the engines."""
         for made in self.daemons:
             made._stopping.set()
         await asyncio.gather(*self._tasks)
@@ -178,8 +178,8 @@
         await self.http.close()
 
 
-class Got(typing.NamedTuple):
-    """What a caller got."""
+class CallerResponse(typing.NamedTuple):
+    """The answer that a caller received."""
 
     attempt: str
     status: int
@@ -190,9 +190,9 @@
 
 @contextlib.asynccontextmanager
 async def site(count: int = 1) -> collections.abc.AsyncIterator[Site]:
-    """Give a site that serves."""
+    """Yield a started site."""
     made = Site()
-    async with asyncio.timeout(SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         await made.start(count)
     try:
         yield made
@@ -201,10 +201,10 @@
 
 
 def run(work: collections.abc.Callable[[Site], typing.Any], count: int = 1) -> None:
-    """Run a test's work at a site."""
+    """Run a test's coroutine with a started site."""
 
     async def bounded() -> None:
-        async with site(count) as made, asyncio.timeout(SECONDS):
+        async with site(count) as made, asyncio.timeout(TIMEOUT_SECONDS):
             await work(made)
 
     asyncio.run(bounded())
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -1,4 +1,4 @@
-"""Requests that come while an instance learns what is true."""
+"""Requests that arrive while an instance starts and has no configuration."""
 
 import asyncio
 import typing
@@ -14,26 +14,26 @@
 
 
 class Routes:
-    """Routes of which none is the caller's."""
+    """Routes that match no request."""
 
     def find(self, host: str, target: str) -> None:
-        """Find nothing."""
+        """Return no route."""
 
 
 class Snapshot(typing.NamedTuple):
-    """A configuration in force."""
+    """An active configuration."""
 
     routes: Routes
 
 
 class Configured:
-    """Has no configuration at first."""
+    """Holds no configuration until a test sets one."""
 
     current: Snapshot | None = None
 
 
-class Known:
-    """Servers of which all is known."""
+class CurrentServers:
+    """A server list that is up to date."""
 
     is_behind = False
 
@@ -47,18 +47,18 @@
     await accepted.accept(SCOPE, _receive, parsed, clock.now())
 
 
-def test_a_request_waits_while_the_instance_learns_what_is_true() -> None:
-    """All instances were killed and start again; a caller is there before the text is.
+def test_request_waits_for_configuration_after_start() -> None:
+    """All instances restart, and a request arrives before the configuration.
 
-    The text comes a moment later. Refused at once, the caller would be back half a
-    second after it; as it is, its request is judged by the text.
+    Refused at once, the caller would retry only half a second later. Instead the
+    request waits for the configuration and is checked against it.
     """
 
     async def run() -> None:
         configured = Configured()
         pauses = pause.Pauses(60.0)
         pauses.hold()
-        accepted = accepting.Acceptor(configured, Known(), pauses)
+        accepted = accepting.Acceptor(configured, CurrentServers(), pauses)
         asked = asyncio.create_task(_accept(accepted))
         await asyncio.sleep(0.0)
         assert not asked.done()
@@ -70,14 +70,14 @@
     asyncio.run(run())
 
 
-def test_a_request_does_not_wait_for_a_text_that_does_not_come(monkeypatch) -> None:
-    """Neither the store nor a neighbour answers: another instance may know more."""
+def test_request_is_refused_when_no_configuration_arrives(monkeypatch) -> None:
+    """Neither the store nor a peer answers; another instance may serve the caller."""
     monkeypatch.setattr(accepting, "RENEWAL_WAIT_SECONDS", 0.01)
 
     async def run() -> None:
         pauses = pause.Pauses(60.0)
         pauses.hold()
-        accepted = accepting.Acceptor(Configured(), Known(), pauses)
+        accepted = accepting.Acceptor(Configured(), CurrentServers(), pauses)
         with pytest.raises(exceptions.NotReady):
             await _accept(accepted)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Capacity for the gateway's requests while keepers die, sleep and are cut off."""
+"""Capacity for the gateway's requests while keepers crash, pause or are unreachable."""
 
 import asyncio
 from unittest import mock
@@ -23,15 +23,15 @@
 
 
 class Members(fakes.Membership):
-    """Three instances that serve."""
+    """A membership of three serving instances."""
 
     def serving(self) -> list:
-        """Return three."""
+        """Return three members."""
         return [None] * 3
 
 
 class Configured(fakes.Configured):
-    """Two servers of three slots each."""
+    """A configuration with two servers of three slots each."""
 
     def __init__(self) -> None:
         servers = []
@@ -48,7 +48,7 @@
 
 
 class Site:
-    """One owner whose keeper is another instance."""
+    """The admission of one instance whose keeper is another instance."""
 
     def __init__(self) -> None:
         self.links = fakes.Links()
@@ -59,7 +59,7 @@
         local = keeper.Keeper(settings, self.links, self.members, self.configured)
         self.demands = demands.Demands(settings, self.links, self.members, local)
         self.admission = admission.Admission(self.demands, self.members, local.cold)
-        # Renewals run all the time in a daemon; without them every permit is late.
+        # A daemon renews permits continuously; without renewals every permit is late.
         self.renewing: asyncio.Task[None] | None = None
 
     def call(self, number: int) -> calls.Call:
@@ -83,7 +83,7 @@
         )
 
     def obtain(self, number: int, **lists) -> "asyncio.Task[admission.Ticket]":
-        """Ask for capacity."""
+        """Start to obtain capacity for a request."""
         refused = lists.get("refused", [])
         work = self.admission.obtain(
             self.call(number), 1, refused, lists.get("tried", [])
@@ -99,14 +99,14 @@
     asyncio.run(bounded())
 
 
-def test_a_keepers_permit_is_used() -> None:
+def test_permit_of_keeper_is_used() -> None:
     async def work(site: Site) -> None:
         asking = site.obtain(1)
         await asyncio.sleep(0.01)
         [demand] = site.keeper.sent
         assert isinstance(demand, messages.Demand)
         assert (demand.id, demand.acknowledge) == ("a1", True)
-        # Twenty tokens of an answer are four events.
+        # Twenty output tokens are four events of five tokens.
         assert (demand.prompt_tokens, demand.output_tokens) == (100, 4)
         permit = messages.Permit("a1", "i-2", 1500, demand.shard)
         site.demands.answer(site.keeper, permit)
@@ -116,11 +116,11 @@
     _run(work)
 
 
-def test_a_silent_keeper_is_not_waited_for() -> None:
-    """The keeper was paused: its connection is open and no answer comes.
+def test_request_is_admitted_locally_while_keeper_is_silent() -> None:
+    """The keeper's process is paused: its connection is open, but it sends nothing.
 
-    The request goes to a server all the same, well within its objective of 400 ms,
-    and the keeper is told that its permit is not needed any more.
+    The request is admitted locally, well within its objective of 400 ms, and the demand
+    is withdrawn from the keeper, also after a late permit.
     """
 
     async def work(site: Site) -> None:
@@ -134,11 +134,11 @@
     _run(work)
 
 
-def test_alone_an_instance_uses_its_own_part_of_each_server() -> None:
-    """Three instances decide alone before two servers of three slots each.
+def test_local_admission_stays_within_own_share_of_each_server() -> None:
+    """Three instances share two servers of three slots each without a keeper.
 
-    Each may have one request out at each server; all of them together fill the
-    servers and do not overfill them. More is refused, with a time to come back.
+    Each may have one request at each server, so that all instances together fill the
+    servers but do not overload them. Further requests are shed with a Retry-After.
     """
 
     async def work(site: Site) -> None:
@@ -158,7 +158,7 @@
     _run(work)
 
 
-def test_alone_a_server_that_failed_the_request_is_left_out() -> None:
+def test_local_admission_skips_servers_that_failed_the_request() -> None:
     async def work(site: Site) -> None:
         ticket = await site.obtain(1, refused=["i-1"])
         assert ticket.server.name == "i-2"
@@ -168,10 +168,10 @@
     _run(work)
 
 
-def test_a_keeper_that_has_the_demand_is_waited_for() -> None:
-    """All slots are taken; the keeper lives and says so each time it is asked.
+def test_request_waits_while_keeper_reports_it_as_queued() -> None:
+    """All slots are taken, and the live keeper acknowledges each repeated demand.
 
-    Going alone would put a request on engines that are full.
+    Local admission would send the request to a full engine.
     """
 
     async def work(site: Site) -> None:
@@ -182,7 +182,7 @@
             site.demands.answer(site.keeper, messages.Queued("a1", shard))
         assert not asking.done()
         asked = [item for item in site.keeper.sent if isinstance(item, messages.Demand)]
-        assert len(asked) >= 2, "it is asked whether it still lives"
+        assert len(asked) >= 2, "the demand is repeated to probe the keeper"
         shed = messages.Shed("a1", "shed_overload", 700)
         site.demands.answer(site.keeper, shed)
         with pytest.raises(exceptions.Shed) as refused:
@@ -192,7 +192,7 @@
     _run(work)
 
 
-def test_a_keeper_that_dies_while_a_request_waits_is_noticed() -> None:
+def test_request_is_admitted_locally_after_queueing_keeper_falls_silent() -> None:
     async def work(site: Site) -> None:
         asking = site.obtain(1)
         await asyncio.sleep(0.02)
@@ -204,8 +204,8 @@
     _run(work)
 
 
-def test_without_a_keeper_no_cold_server_gets_work() -> None:
-    """Each instance would send to it by itself, and all of them together too much."""
+def test_local_admission_skips_cold_servers() -> None:
+    """A cold server's limit covers all instances; local admission could exceed it."""
 
     async def work(site: Site) -> None:
         site.admission._cold = mock.Mock(is_cold=lambda name: name == "i-1")
@@ -218,8 +218,8 @@
     _run(work)
 
 
-def test_instances_that_lose_their_keeper_do_not_all_send_to_one_server() -> None:
-    """Hundreds of instances lose it at the same moment and know the same servers."""
+def test_local_admission_spreads_instances_over_servers() -> None:
+    """All instances lose a keeper at once; a fixed order would overload one server."""
 
     async def work(site: Site) -> None:
         used = set()
@@ -233,7 +233,7 @@
     _run(work)
 
 
-def test_a_service_without_servers_is_refused_at_once() -> None:
+def test_request_for_service_without_servers_is_refused_at_once() -> None:
     async def work(site: Site) -> None:
         empty = snapshots.with_servers(
             site.configured.current, snapshots.Registered({}, [])
@@ -247,11 +247,11 @@
     _run(work)
 
 
-def test_a_keeper_tells_those_who_ask_that_they_wait() -> None:
-    """A keeper that has just begun grants nothing until it knows what is out.
+def test_keeper_acknowledges_queued_demand_only_on_request() -> None:
+    """A new keeper grants nothing until it has learned which requests are running.
 
-    An owner that would go its own way without a sign gets one; the others, which wait
-    in any case, are sent nothing that they do not need.
+    It acknowledges a demand whose sender would otherwise admit the request locally.
+    Senders that wait in any case get no message.
     """
 
     async def work(site: Site) -> None:
@@ -269,20 +269,24 @@
     _run(work)
 
 
-def _refuses(call, tries, refused, tried) -> None:
+def _raise_shed(call, tries, refused, tried) -> None:
     raise exceptions.Shed(retry_after_ms=300)
 
 
-def _breaks_off(call, tries, refused, tried) -> None:
+def _raise_answer_lost(call, tries, refused, tried) -> None:
     raise exceptions.AnswerLost()
 
 
-@pytest.mark.parametrize(("ends", "returned"), [(_refuses, 1), (_breaks_off, 0)])
-def test_a_refused_request_returns_its_part_of_the_limit(ends, returned) -> None:
-    """A request has its part of the team's limit and gets no slot; its caller returns.
+@pytest.mark.parametrize(
+    ("ends", "returned"), [(_raise_shed, 1), (_raise_answer_lost, 0)]
+)
+def test_refused_request_returns_its_quota_unless_it_may_have_run(
+    ends, returned
+) -> None:
+    """A request takes quota of its team and then gets no slot; its caller retries.
 
-    What never ran is given back. What a server may have run stays counted: the limit
-    is on what engines run.
+    The quota of a request that never ran is returned. A request that a server may have
+    run stays charged, because the limit applies to work of the engines.
     """
 
     async def work(site: Site) -> None:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that crash the servers which run them, at daemons that share no state."""
+"""Quarantine of requests that crash their servers, across several daemons."""
 
 import asyncio
 
@@ -8,25 +8,25 @@
 from cassiaquay_dev.standins import platform_standins as standins
 from cassiaquay_dev.standins import raw_servers
 
-POISON = b"poison"
-CRASHES = 3
-# Word of the third crash reaches every instance within this time.
-CONTACT_SECONDS = 3.0
+CRASHING_BODY = b"poison"
+CRASHES_TO_QUARANTINE = 3
+# Reports of the third crash reach every instance within this time.
+PROPAGATION_SECONDS = 3.0
 
 
-class Crashes:
-    """Servers that one body crashes, and that restart at once under another name."""
+class CrashingServers:
+    """Servers that crash on one request body and restart at once under a new name."""
 
     def __init__(self, site: fakes.Site):
         self.arrivals: list[str] = []
         self._site = site
         for engine in site.engines:
-            engine.act = self._act
+            engine.act = self._respond
 
-    async def _act(
+    async def _respond(
         self, request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        if request.body != POISON:
+        if request.body != CRASHING_BODY:
             await standins.whole(request, writer)
             return
         self.arrivals.append(request.attempt)
@@ -35,33 +35,33 @@
         self._site.store.remove(f"servers/{name}")
         self._site.store.remove(f"servers/{name}-plain")
         engine.name = f"i-{len(self.arrivals)}-again"
-        self._site.enlist(engine)
+        self._site.register(engine)
         raw_servers.reset(writer)
 
 
-def test_a_request_that_crashes_servers_is_soon_refused_at_all_instances() -> None:
-    """Guards against a request that crashes one server after the other for ever."""
+def test_request_that_crashes_servers_is_quarantined_at_all_instances() -> None:
+    """Guards against a request that crashes one server after another without end."""
 
     async def work(site: fakes.Site) -> None:
-        crashes = Crashes(site)
+        crashing = CrashingServers(site)
         asked = 0
-        while len(crashes.arrivals) < CRASHES:
-            await site.ask("/stream/x", body=POISON, at=asked % 3)
+        while len(crashing.arrivals) < CRASHES_TO_QUARANTINE:
+            await site.ask("/stream/x", body=CRASHING_BODY, at=asked % 3)
             asked += 1
-        before = len(crashes.arrivals)
-        await asyncio.sleep(CONTACT_SECONDS)
+        before = len(crashing.arrivals)
+        await asyncio.sleep(PROPAGATION_SECONDS)
         for number in range(9):
-            got = await site.ask("/stream/x", body=POISON, at=number % 3)
+            got = await site.ask("/stream/x", body=CRASHING_BODY, at=number % 3)
             assert got.status == 503
-        assert len(crashes.arrivals) == before
+        assert len(crashing.arrivals) == before
         got = await site.ask("/stream/x")
         assert (got.status, got.body) == (200, standins.stream())
 
     fakes.run(work, 3)
 
 
-def test_what_was_broken_off_by_a_crash_is_not_refused_as_its_cause() -> None:
-    """Guards against refusing callers whose requests ran beside the cause."""
+def test_requests_cut_by_a_crash_are_not_quarantined() -> None:
+    """Guards against refusing requests that ran beside the one that caused a crash."""
 
     async def work(site: fakes.Site) -> None:
         async def reset(
@@ -69,7 +69,7 @@
         ) -> None:
             raw_servers.reset(writer)
 
-        site.let(reset)
+        site.answer_first_run_with(reset)
         for number in range(6):
             got = await site.ask("/stream/x", at=number % 2)
             assert (got.status, got.body) == (200, standins.stream())
@@ -77,22 +77,22 @@
     fakes.run(work, 2)
 
 
-def test_an_instance_that_starts_learns_which_requests_crash_servers() -> None:
-    """Guards against a restarted instance that crashes each server once more."""
+def test_started_instance_receives_quarantined_requests() -> None:
+    """Guards against a new instance that sends a quarantined request to servers."""
 
     async def work(site: fakes.Site) -> None:
-        crashes = Crashes(site)
-        while len(crashes.arrivals) < CRASHES:
-            await site.ask("/stream/x", body=POISON)
+        crashing = CrashingServers(site)
+        while len(crashing.arrivals) < CRASHES_TO_QUARANTINE:
+            await site.ask("/stream/x", body=CRASHING_BODY)
         peer = f"127.0.0.1:{ports.free_port()}"
         await site.add("cq-2", peer, [*site.settings[0].seeds, peer])
         await site.until_ready(site.settings[1])
         while not site.daemons[1]._quarantine.count:
             await asyncio.sleep(0.02)
-        got = await site.ask("/stream/x", body=POISON, at=1)
+        got = await site.ask("/stream/x", body=CRASHING_BODY, at=1)
         assert got.status == 503
         assert "retry-after" in got.headers
-        assert len(crashes.arrivals) == CRASHES
+        assert len(crashing.arrivals) == CRASHES_TO_QUARANTINE
 
     fakes.run(work)
 
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""A planned stop while a last request is on its way."""
+"""Draining an instance while a last request is in transit."""
 
 import asyncio
 from unittest import mock
@@ -11,18 +11,18 @@
 
 
 class Server:
-    """A listener that notices within a tenth of a second that it should end."""
+    """A listener that stops a tenth of a second after it is asked to."""
 
     should_exit = False
     force_exit = False
 
 
-def test_a_request_that_was_on_its_way_when_listening_ended_is_not_cut_off() -> None:
-    """A stopping instance has nothing open when it ends its listeners.
+def test_request_in_transit_when_listeners_stop_is_completed() -> None:
+    """A draining instance has no open request when it stops its listeners.
 
-    A request is on its way on a kept connection, arrives 60 ms later and takes 0.3 s.
-    Its caller gets its answer before the connections are broken; one that left at the
-    first moment without a request would cut it off.
+    A request in transit on a kept-alive connection arrives 60 ms later and takes 0.3 s.
+    It must complete before the connections are closed; closing them at the first moment
+    without an open request would cut it off.
     """
 
     async def work() -> tuple[float, float]:
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -13,7 +13,7 @@
 
 def _split(site: fakes.Site) -> tuple[standins.Engine, standins.Engine]:
     """Put the second engine into another failure domain."""
-    site.enlist(site.engines[1], zone="b")
+    site.register(site.engines[1], zone="b")
     return site.engines[0], site.engines[1]
 
 
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Streams cut into whole events, however their bytes arrive."""
+"""Splitting a byte stream into complete events at any chunk boundaries."""
 
 import itertools
 
@@ -11,10 +11,10 @@
 
 
 @hypothesis.given(strategies.lists(strategies.integers(0, len(STREAM)), max_size=8))
-def test_only_whole_events_come_out(cuts: list[int]) -> None:
-    """A server stops in the middle of an event, at any byte.
+def test_splitter_returns_only_complete_events(cuts: list[int]) -> None:
+    """A server may fail at any byte of an event.
 
-    Sent on at once, the half event and the other server's whole one would join.
+    A forwarded half event would merge with the first event of the resumed stream.
     """
     splitter = events.Splitter()
     edges = [0, *sorted(cuts), len(STREAM)]
@@ -31,7 +31,7 @@
     assert numbers[-1] == 4
 
 
-def test_a_part_of_an_event_waits_for_its_end() -> None:
+def test_incomplete_event_is_buffered() -> None:
     splitter = events.Splitter()
     assert splitter.feed(b"id: 3\nda").event_count == 0
     assert not splitter.is_empty
@@ -40,12 +40,12 @@
     assert not splitter.is_empty
 
 
-def test_events_without_numbers_are_counted() -> None:
+def test_events_without_ids_are_counted() -> None:
     found = events.Splitter().feed(b": note\n\ndata: x\n\n")
     assert (found.event_count, found.first, found.last) == (2, -1, -1)
 
 
-def test_an_event_without_end_is_noticed() -> None:
+def test_oversized_event_is_detected() -> None:
     splitter = events.Splitter()
     splitter.feed(b"x" * (events.MAX_EVENT_BYTES + 1))
     assert splitter.is_too_long
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Callers' plain HTTP, whole path: what callers and servers see, with faults."""
+"""The gateway from caller to backend server over HTTP, with faults of the servers."""
 
 import asyncio
 
@@ -9,29 +9,33 @@
 from cassiaquay_dev.standins import raw_servers
 
 
-async def _reset(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+async def _reset_connection(
+    request: raw_servers.Request, writer: raw_servers.Writer
+) -> None:
     raw_servers.reset(writer)
 
 
-async def _silent(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+async def _send_nothing(
+    request: raw_servers.Request, writer: raw_servers.Writer
+) -> None:
     await asyncio.sleep(60)
 
 
-async def _busy(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+async def _decline(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
     await raw_servers.send(writer, 503, b"", {"Cassiaquay-Not-Executed": "1"})
 
 
-async def _failing(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+async def _answer_500(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
     await raw_servers.send(writer, 500, b"broken", standins.seal(request))
 
 
-def test_an_answer_comes_through_unchanged() -> None:
+def test_answer_is_forwarded_unchanged() -> None:
     async def work(site: fakes.Site) -> None:
         got = await site.ask("/book/x?a=%2F&b", Cassiaquay_Tenant="other")
         assert (got.status, got.complete) == (200, True)
         assert got.body == b"body of " + got.attempt.encode()
         assert got.headers["cassiaquay-response-seal"] == f"seal-{got.attempt}"
-        [engine] = site.engine_of(got.attempt)
+        [engine] = site.engines_of(got.attempt)
         [request] = engine.requests
         assert (request.method, request.target) == ("POST", "/book/x?a=%2F&b")
         assert request.body == b"b"
@@ -42,7 +46,7 @@
     fakes.run(work)
 
 
-def test_a_stream_comes_through_event_by_event() -> None:
+def test_stream_is_forwarded_completely() -> None:
     async def work(site: fakes.Site) -> None:
         got = await site.ask("/stream/x")
         assert (got.status, got.complete) == (200, True)
@@ -51,7 +55,7 @@
     fakes.run(work)
 
 
-def test_what_the_configuration_does_not_allow_reaches_no_server() -> None:
+def test_requests_without_route_or_key_reach_no_server() -> None:
     async def work(site: fakes.Site) -> None:
         assert (await site.ask("/nowhere/x")).status == 404
         assert (await site.ask("/book/x", Api_Key="wrong")).status == 401
@@ -62,72 +66,73 @@
     fakes.run(work)
 
 
-def test_a_booking_whose_answer_is_lost_is_not_sent_again() -> None:
-    """The server ran the booking and its connection was reset.
+def test_non_idempotent_request_with_lost_answer_is_not_retried() -> None:
+    """The server resets the connection after it received a booking.
 
-    Sent to the other server it would be made twice; "not run" would be a lie that
-    lets the caller send it again. The caller gets 502, which promises nothing.
+    A retry could make the booking twice, and "not run" would let the caller send it
+    again. The caller gets 502, an unknown outcome.
     """
 
     async def work(site: fakes.Site) -> None:
-        site.let(_reset)
+        site.answer_first_run_with(_reset_connection)
         got = await site.ask("/book/x")
         assert got.status == 502
-        assert len(site.engine_of(got.attempt)) == 1
+        assert len(site.engines_of(got.attempt)) == 1
 
     fakes.run(work)
 
 
-def test_a_read_whose_answer_is_lost_is_sent_again() -> None:
+def test_idempotent_request_with_lost_answer_is_retried() -> None:
     async def work(site: fakes.Site) -> None:
-        site.let(_reset)
+        site.answer_first_run_with(_reset_connection)
         got = await site.ask("/safe/x", "GET", b"")
         assert got.status == 200
-        assert len(site.engine_of(got.attempt)) == 2
+        assert len(site.engines_of(got.attempt)) == 2
 
     fakes.run(work)
 
 
-def test_a_kept_connection_that_closes_does_not_repeat_a_booking() -> None:
-    """The server has answered on a connection, then resets it under the next request.
+def test_reset_of_reused_connection_does_not_retry_non_idempotent_get() -> None:
+    """The server answers on a connection, then resets it during the next request.
 
-    Client libraries send a GET again on their own then. Here GET is the method of a
-    route that may not run twice, and the server may have run it.
+    HTTP client libraries resend a GET by themselves in this case. Here GET is used on a
+    non-idempotent route, and the server may have run the request.
     """
 
     async def work(site: fakes.Site) -> None:
         assert (await site.ask("/book/x", "GET", b"")).status == 200
-        site.let(_reset)
+        site.answer_first_run_with(_reset_connection)
         got = await site.ask("/book/x", "GET", b"")
         assert got.status == 502
-        assert len(site.engine_of(got.attempt)) == 1
+        assert len(site.engines_of(got.attempt)) == 1
 
     fakes.run(work)
 
 
-def test_an_answer_of_failure_is_asked_for_elsewhere_where_that_is_allowed() -> None:
-    """One server answers with 500; only what may run twice goes to the other one.
+def test_server_error_is_retried_only_for_idempotent_requests() -> None:
+    """A server answers with status 500.
 
-    A booking's 500 is its answer and comes through with the server's own bytes.
+    An idempotent request is retried at the other server; for a booking, the 500 is
+    forwarded with the server's body.
     """
 
     async def work(site: fakes.Site) -> None:
-        site.let(_failing)
+        site.answer_first_run_with(_answer_500)
         assert (await site.ask("/safe/x", "GET", b"")).status == 200
         got = await site.ask("/book/x")
         assert (got.status, got.body) == (500, b"broken")
         assert got.headers["cassiaquay-response-seal"] == f"seal-{got.attempt}"
-        assert len(site.engine_of(got.attempt)) == 1
+        assert len(site.engines_of(got.attempt)) == 1
 
     fakes.run(work)
 
 
-def test_not_run_is_said_only_of_what_has_not_run() -> None:
-    """Both servers say that they are full; none of them runs the booking."""
+def test_request_that_all_servers_declined_is_reported_as_not_run() -> None:
+    """Both servers decline the booking and do not run it."""
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = _busy
+            engine.act = _decline
         got = await site.ask("/book/x", Cassiaquay_Deadline_Ms="600")
         assert got.status == 503
         assert b'"outcome":"not_run"' in got.body
@@ -135,19 +140,19 @@
     fakes.run(work)
 
 
-def test_a_full_server_is_left_for_another_one() -> None:
+def test_request_declined_by_one_server_is_sent_to_another() -> None:
     async def work(site: fakes.Site) -> None:
-        site.let(_busy)
+        site.answer_first_run_with(_decline)
         assert (await site.ask("/book/x")).status == 200
 
     fakes.run(work)
 
 
-def test_a_request_ends_at_its_routes_bound() -> None:
-    """The operator bounds the route to 300 ms; the server says nothing for longer."""
+def test_request_ends_at_route_timeout() -> None:
+    """The route's timeout is 300 ms; the server sends nothing for longer."""
 
     async def work(site: fakes.Site) -> None:
-        site.let(_silent)
+        site.answer_first_run_with(_send_nothing)
         got = await site.ask("/short/x")
         assert got.status == 504
 
@@ -155,15 +160,17 @@
 
 
 @pytest.mark.parametrize("path", ["/stream/x", "/string/x"])
-def test_a_stream_that_breaks_off_goes_on_where_it_may(path: str) -> None:
-    """A server dies in the middle of its fourth event.
+def test_cut_stream_is_resumed_only_on_resumable_route(path: str) -> None:
+    """A server resets its connection in the middle of its fourth event.
 
-    The caller has three whole events. A resumable stream goes on behind them at the
-    other server, without a gap or a repeat; another one breaks off, and does not look
-    whole.
+    The caller has three complete events. A resumable stream continues after them at the
+    other server, without missing or repeated events. A stream that is not resumable is
+    cut and does not look complete.
     """
 
-    async def cut(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+    async def cut_stream(
+        request: raw_servers.Request, writer: raw_servers.Writer
+    ) -> None:
         await standins.begin(request, writer)
         await standins.pieces(request, writer, 3)
         writer.write(b"a\r\nid: 3\ndata")
@@ -172,11 +179,11 @@
         raw_servers.reset(writer)
 
     async def work(site: fakes.Site) -> None:
-        site.let(cut)
+        site.answer_first_run_with(cut_stream)
         got = await site.ask(path)
         if path == "/stream/x":
             assert (got.body, got.complete) == (standins.stream(), True)
-            assert len(site.engine_of(got.attempt)) == 2
+            assert len(site.engines_of(got.attempt)) == 2
             [second] = [
                 request
                 for engine in site.engines
@@ -187,25 +194,27 @@
         else:
             assert not got.complete
             assert standins.stream().startswith(got.body)
-            assert len(site.engine_of(got.attempt)) == 1
+            assert len(site.engines_of(got.attempt)) == 1
 
     fakes.run(work)
 
 
-def test_a_server_that_falls_silent_is_left_in_time() -> None:
-    """Two events come, then nothing; the connection stays open.
+def test_stream_of_silent_server_is_resumed_at_another() -> None:
+    """A server sends two events and then nothing; the connection stays open.
 
-    A caller waits two seconds and more between events. The stream goes on elsewhere
-    before that, and the silent server's connection is closed so that it stops.
+    A caller waits at least two seconds between events. The stream is resumed at the
+    other server before that, and the silent server's connection is closed.
     """
 
-    async def mute(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+    async def send_two_events(
+        request: raw_servers.Request, writer: raw_servers.Writer
+    ) -> None:
         await standins.begin(request, writer)
         await standins.pieces(request, writer, 2)
         await asyncio.sleep(60)
 
     async def work(site: fakes.Site) -> None:
-        site.let(mute)
+        site.answer_first_run_with(send_two_events)
         got = await site.ask("/stream/x")
         assert (got.body, got.complete) == (standins.stream(), True)
         closed = [name for engine in site.engines for name in engine.closed_under]
@@ -214,17 +223,21 @@
     fakes.run(work)
 
 
-def test_a_server_that_begins_anew_does_not_join_two_runs() -> None:
-    """Asked to go on behind event 1, the other server sends event 0 again."""
+def test_stream_restarted_instead_of_resumed_is_cut() -> None:
+    """Asked to resume after event 1, the other server starts again at event 0."""
 
-    async def cut(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+    async def cut_stream(
+        request: raw_servers.Request, writer: raw_servers.Writer
+    ) -> None:
         await standins.begin(request, writer)
         await standins.pieces(request, writer, 2)
         raw_servers.reset(writer)
 
-    async def anew(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+    async def restart_stream(
+        request: raw_servers.Request, writer: raw_servers.Writer
+    ) -> None:
         if "last-event-id" not in request.headers:
-            await cut(request, writer)
+            await cut_stream(request, writer)
             return
         bare = request._replace(headers={"cassiaquay-attempt-id": request.attempt})
         await standins.begin(bare, writer)
@@ -233,7 +246,7 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = anew
+            engine.act = restart_stream
         got = await site.ask("/stream/x")
         assert not got.complete
         assert standins.stream(2).startswith(got.body)
@@ -241,20 +254,22 @@
     fakes.run(work)
 
 
-def test_a_late_second_answer_reaches_nobody() -> None:
-    """A server sends a second answer after a whole one, on the kept connection.
+def test_surplus_answer_on_kept_connection_reaches_no_caller() -> None:
+    """A server sends a second answer after a complete one on a kept-alive connection.
 
-    The next request on that connection would read the other one's answer. Whichever
-    connection it takes, it gets its own answer or none.
+    The next request on that connection would read the surplus answer, which belongs to
+    another request. Each request gets its own answer or an error.
     """
 
-    async def twice(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+    async def send_surplus_answer(
+        request: raw_servers.Request, writer: raw_servers.Writer
+    ) -> None:
         await standins.whole(request, writer)
         await raw_servers.send(writer, 200, b"stray", standins.seal(request))
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = twice
+            engine.act = send_surplus_answer
         for _ in range(12):
             got = await site.ask("/book/x")
             assert got.status in (200, 502)
@@ -265,10 +280,10 @@
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_an_answer_without_length_is_whole_only_at_a_clean_end(reset: bool) -> None:
-    """The answer ends with its connection; a reset on the way must not look whole."""
+def test_answer_without_length_is_complete_only_after_clean_close(reset: bool) -> None:
+    """Without a length, the answer ends with its connection; a reset truncates it."""
 
-    async def unframed(
+    async def send_without_length(
         request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
         head = "".join(f"{k}: {v}\r\n" for k, v in standins.seal(request).items())
@@ -281,7 +296,7 @@
             writer.close()
 
     async def work(site: fakes.Site) -> None:
-        site.let(unframed)
+        site.answer_first_run_with(send_without_length)
         got = await site.ask("/book/x")
         if reset:
             assert got.status == 502
@@ -291,13 +306,15 @@
     fakes.run(work)
 
 
-def test_bytes_that_are_no_answer_are_not_passed_on() -> None:
-    async def garbage(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+def test_malformed_answer_is_not_forwarded() -> None:
+    async def send_garbage(
+        request: raw_servers.Request, writer: raw_servers.Writer
+    ) -> None:
         writer.write(b"\x00\x01 what is this\r\n\r\n")
         await writer.drain()
 
     async def work(site: fakes.Site) -> None:
-        site.let(garbage)
+        site.answer_first_run_with(send_garbage)
         assert (await site.ask("/book/x")).status == 502
         assert (await site.ask("/safe/x", "GET", b"")).status == 200
 
@@ -305,16 +322,16 @@
 
 
 @pytest.mark.parametrize("path", ["/stream/x", "/book/x"])
-def test_work_for_a_caller_that_has_gone_is_stopped_where_it_may(path: str) -> None:
+def test_disconnect_of_caller_stops_only_repeatable_requests(path: str) -> None:
     """The caller closes its connection while its request runs.
 
-    A stream's server must not work on for nobody. A booking under way is left to its
-    end: cut off, it would be half done.
+    A stream is stopped at its server, which would waste capacity. A running booking is
+    completed, because an abort could leave it half done.
     """
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = _silent
+            engine.act = _send_nothing
         asking = asyncio.create_task(site.ask(path))
         while not any(engine.requests for engine in site.engines):
             await asyncio.sleep(0.01)
@@ -330,10 +347,10 @@
     fakes.run(work)
 
 
-def test_a_server_at_a_reused_address_is_not_taken_for_the_old_one() -> None:
-    """A server's address belongs to another server now, and the list lags.
+def test_request_declined_at_reused_address_is_sent_elsewhere() -> None:
+    """A server's address now belongs to another server, and the list is outdated.
 
-    The other one says that it is not meant; the request goes to a right one.
+    The other server declines the request by its expected id; it is sent elsewhere.
     """
 
     async def work(site: fakes.Site) -> None:
@@ -341,13 +358,13 @@
         for _ in range(6):
             got = await site.ask("/book/x")
             assert got.status == 200
-            assert site.engine_of(got.attempt)[-1] is site.engines[1]
+            assert site.engines_of(got.attempt)[-1] is site.engines[1]
 
     fakes.run(work)
 
 
-def test_a_dead_servers_requests_go_elsewhere() -> None:
-    """A server has crashed; it is listed for seconds, and nothing listens there."""
+def test_requests_to_crashed_server_are_sent_elsewhere() -> None:
+    """A server has crashed but stays listed for seconds; connections are refused."""
 
     async def work(site: fakes.Site) -> None:
         await site.engines[0].stop()
@@ -357,10 +374,10 @@
     fakes.run(work)
 
 
-def test_a_server_that_leaves_gets_nothing_new() -> None:
+def test_draining_server_gets_no_new_requests() -> None:
     async def work(site: fakes.Site) -> None:
-        site.enlist(site.engines[0], state="draining")
-        await _until(lambda: len(_pool(site)) == 1)
+        site.register(site.engines[0], state="draining")
+        await _wait_until(lambda: len(_plain_servers(site)) == 1)
         before = len(site.engines[0].requests)
         for _ in range(6):
             assert (await site.ask("/book/x")).status == 200
@@ -369,13 +386,13 @@
     fakes.run(work)
 
 
-def test_a_change_of_routes_and_keys_is_in_force_soon() -> None:
+def test_changed_routes_and_keys_take_effect() -> None:
     async def work(site: fakes.Site) -> None:
         teams = [{"name": "blue", "api-keys": ["other"]}]
         routes = [*standins.ROUTES[1:], standins.route("/new/", "idempotent", "plain")]
         changed = standins.configuration(2, routes=routes, tenants=teams)
         site.store.put("op/config", changed)
-        await _until(lambda: _routing(site).version == 2)
+        await _wait_until(lambda: _active_routes(site).version == 2)
         assert (await site.ask("/book/x")).status == 401
         assert (await site.ask("/new/x", Api_Key="other")).status == 200
         assert (await site.ask("/safe/x", Api_Key="other")).status == 404
@@ -383,15 +400,15 @@
     fakes.run(work)
 
 
-def test_refusals_before_a_route_and_callers_that_left_are_counted() -> None:
-    """A caller shows an unknown key; another one leaves while its server is silent.
+def test_early_refusals_and_disconnected_callers_are_counted() -> None:
+    """One caller sends an unknown key; another one disconnects from a running request.
 
-    On-call engineers see both on the metrics page, each with its code.
+    Both appear in the metrics with their codes.
     """
 
     async def work(site: fakes.Site) -> None:
         assert (await site.ask("/book/x", Api_Key="unknown")).status == 401
-        site.let(_silent)
+        site.answer_first_run_with(_send_nothing)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
                 await site.ask("/safe/x")
@@ -406,10 +423,10 @@
     fakes.run(work)
 
 
-def test_an_instance_that_may_be_behind_says_not_now() -> None:
-    """The store answers nobody; a key that is unknown here may be new.
+def test_unknown_key_is_refused_as_retryable_while_store_is_unreachable() -> None:
+    """The store is unreachable, so a key or route unknown here may be a new one.
 
-    "Unknown key" would be final for the caller; 503 lets it come back.
+    A 401 or 404 would be final for the caller; 503 lets it retry.
     """
 
     async def work(site: fakes.Site) -> None:
@@ -422,19 +439,19 @@
     fakes.run(work)
 
 
-def test_entries_of_other_writers_harm_nobody() -> None:
+def test_invalid_server_entries_are_ignored() -> None:
     async def work(site: fakes.Site) -> None:
         site.store.put("servers/odd", b"\xff\x00")
         site.store.put("servers/other", {"service": 3})
         site.store.put("servers/mad", {"service": "chat", "addr": "x", "state": "on"})
         await asyncio.sleep(0.4)
-        assert len(_pool(site)) == 2
+        assert len(_plain_servers(site)) == 2
         assert (await site.ask("/book/x")).status == 200
 
     fakes.run(work)
 
 
-def test_callers_learn_the_addresses_of_all_ready_instances() -> None:
+def test_directory_lists_all_ready_instances() -> None:
     async def work(site: fakes.Site) -> None:
         fronts = {one.gateway.front for one in site.settings}
         url = f"http://{site.settings[0].gateway.directory}/cassiaquay/resolve"
@@ -450,14 +467,16 @@
     fakes.run(work, 3)
 
 
-def test_a_planned_stop_cuts_nothing_off() -> None:
-    """One of two instances is told to stop while a stream runs there.
+def test_drain_completes_open_requests() -> None:
+    """One of two instances is drained while a stream runs there.
 
-    The stream ends whole. New requests on the kept connection are served and told
-    that it closes; readiness and the directory stop naming the instance.
+    The stream completes. New requests are served with ``Connection: close``; readiness
+    fails and the directory stops naming the instance.
     """
 
-    async def slow(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+    async def stream_slowly(
+        request: raw_servers.Request, writer: raw_servers.Writer
+    ) -> None:
         await standins.begin(request, writer)
         for until in range(1, standins.PIECES + 1):
             bare = dict(request.headers)
@@ -468,7 +487,7 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = slow
+            engine.act = stream_slowly
         asking = asyncio.create_task(site.ask("/stream/x"))
         while not any(engine.requests for engine in site.engines):
             await asyncio.sleep(0.01)
@@ -510,10 +529,10 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_requests_whose_end_is_unclear_reach_no_server(raw: bytes) -> None:
-    """Two readers of such bytes see two different requests.
+def test_requests_with_ambiguous_framing_reach_no_server(raw: bytes) -> None:
+    """Two HTTP parsers can read such bytes as different requests (request smuggling).
 
-    The second one of them would be somebody else's, with this caller's key.
+    A smuggled second request would run with this caller's key.
     """
 
     async def work(site: fakes.Site) -> None:
@@ -531,14 +550,14 @@
     fakes.run(work)
 
 
-def _pool(site: fakes.Site) -> list:
+def _plain_servers(site: fakes.Site) -> list:
     return site.daemons[0]._configuration.current.fleet.pools["plain"].servers
 
 
-def _routing(site: fakes.Site):
+def _active_routes(site: fakes.Site):
     return site.daemons[0]._configuration.current.routes
 
 
-async def _until(condition) -> None:
+async def _wait_until(condition) -> None:
     while not condition():
         await asyncio.sleep(0.02)
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -1,8 +1,8 @@
-"""Generated schedules against the gateway's promises, and mutants that each rejects.
+"""Random fault schedules against the gateway's guarantees, and mutation tests of them.
 
-Engines cut, silence, refuse and spoil answers at random while callers ask, leave and
-come back. What callers and engines saw must keep the promises; a gateway with one
-safeguard taken out must be found out by the same schedule.
+Engines cut, delay, decline and corrupt answers at random while callers send requests,
+disconnect and retry. The records of callers and engines must satisfy the checks; with
+one safeguard of the gateway disabled, the same checks must report a violation.
 """
 
 import asyncio
@@ -25,14 +25,14 @@
 RATE = 200.0
 SECONDS = 1.0
 DEADLINE_SECONDS = 1.5
-# Tokens a second of the small team: a few requests of all that it sends.
+# Quota of the small team in tokens per second; admits only a few of its requests.
 SMALL_RATE = 60.0
 FAULTY_SHARE = 0.5
-PLAYS = 6
+MAX_SCHEDULES = 6
 
 
 class Site(fakes.Site):
-    """Daemons in this process before engines that do wrong at random."""
+    """Daemons in this process with engines that inject faults at random."""
 
     def __init__(self, seen: records.Records, chance: random.Random):
         super().__init__()
@@ -42,7 +42,7 @@
             engine.faulty_share = FAULTY_SHARE
             self.engines.append(engine)
 
-    def enlist(self, engine: engines.Engine, **more: object) -> None:
+    def register(self, engine: engines.Engine, **more: object) -> None:
         """Register an engine."""
         entry = {
             "service": engine.service,
@@ -78,8 +78,8 @@
     return standins.configuration(2, tenants=teams)
 
 
-def _play(seed: int) -> set[str]:
-    """Play a schedule; return the names of the checks that found something."""
+def _violated_checks(seed: int) -> set[str]:
+    """Run a schedule; return the names of the checks that found a violation."""
     seen = records.Records()
     chance = random.Random(seed)
 
@@ -98,7 +98,7 @@
                     {path: _service(kind) for kind, path in callers.PATHS.items()},
                 )
             )
-            await _ask(site, seen, chance)
+            await _send_requests(site, seen, chance)
         finally:
             await site.stop()
 
@@ -106,7 +106,9 @@
     return {finding.check for finding in checks.run(seen, timed=False)}
 
 
-async def _ask(site: Site, seen: records.Records, chance: random.Random) -> None:
+async def _send_requests(
+    site: Site, seen: records.Records, chance: random.Random
+) -> None:
     fronts = []
     for found in site.settings:
         gateway = found.gateway
@@ -126,12 +128,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold_whatever_engines_do(seed: int) -> None:
-    assert not _play(seed)
+def test_guarantees_hold_under_random_engine_faults(seed: int) -> None:
+    assert not _violated_checks(seed)
 
 
 def _forget_dispatches(monkeypatch) -> None:
-    """Forget what has been sent."""
+    """Do not record that a request was sent."""
     mark = serving.RequestHandler._mark_dispatched
 
     def forget(self, state, ticket) -> None:
@@ -143,7 +145,7 @@
 
 
 def _repeat_every_request(monkeypatch) -> None:
-    """Repeat a cut answer, whatever the request may."""
+    """Retry every request whose answer was cut, idempotent or not."""
     monkeypatch.setattr(
         serving.RequestHandler, "_check_repeat", lambda self, state, error: None
     )
@@ -151,7 +153,7 @@
 
 
 def _accept_truncated(monkeypatch) -> None:
-    """Take an answer that breaks off for a whole one."""
+    """Accept a truncated answer as complete."""
 
     async def read(answer):
         try:
@@ -165,14 +167,14 @@
 
 
 def _accept_any_event_order(monkeypatch) -> None:
-    """Let a server that begins a stream anew go on with it."""
+    """Accept events of a server that restarts a stream instead of resuming it."""
     monkeypatch.setattr(passing, "_check_event_order", lambda state, found: None)
     monkeypatch.setattr(engines, "FAULTS", ("truncate", "anew"))
     monkeypatch.setattr(sys.modules[__name__], "FAULTY_SHARE", 0.9)
 
 
 def _accept_any_answer(monkeypatch) -> None:
-    """Take whatever comes on a connection for the answer to what was sent."""
+    """Accept any answer on a connection without checking its attempt id."""
 
     def check(self, call, response) -> forwarding.Answer:
         if headers.NOT_EXECUTED in response.headers:
@@ -185,14 +187,14 @@
 
 
 def _forward_forged_team(monkeypatch) -> None:
-    """Pass on the team that a caller names."""
+    """Forward the team header that a caller sends."""
     own = headers._RESERVED - {b"cassiaquay-tenant"}
     monkeypatch.setattr(headers, "_RESERVED", own)
     monkeypatch.setattr(headers, "TEAM", "Other-Header")
 
 
 def _ignore_team_limits(monkeypatch) -> None:
-    """Look at no limit of teams."""
+    """Do not enforce the limits of teams."""
 
     async def take(self, team, facts, patience=0.0) -> None:
         return None
@@ -212,14 +214,14 @@
 
 
 @pytest.mark.parametrize(("mutate", "check"), MUTANTS)
-def test_a_gateway_without_a_safeguard_is_found_out(
+def test_checks_detect_gateway_without_a_safeguard(
     mutate, check: str, monkeypatch
 ) -> None:
     mutate(monkeypatch)
-    # On a busy machine few requests get as far as the missing safeguard in one play.
+    # On a busy machine few requests reach the disabled safeguard in one schedule.
     found: set[str] = set()
-    for seed in range(PLAYS):
-        found |= _play(seed)
+    for seed in range(MAX_SCHEDULES):
+        found |= _violated_checks(seed)
         if check in found:
             break
     assert check in found
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""The platform's configuration document and registrations, translated once."""
+"""Decoding of the platform's configuration document, registrations and headers."""
 
 import json
 import pathlib
@@ -65,7 +65,7 @@
     return found
 
 
-def test_the_longest_prefix_wins() -> None:
+def test_longest_prefix_wins() -> None:
     found = _read()
     short = found.find("host.example", "/a/x")
     long = found.find("host.example", "/a/b/x")
@@ -76,7 +76,7 @@
     assert found.find("other.example", "/a/x") is None
 
 
-def test_a_route_holds_what_the_document_says() -> None:
+def test_route_has_the_values_of_the_document() -> None:
     route = _read().find("host.example", "/a/")
     assert route is not None
     assert route.kind is routing.Kind.STREAM
@@ -87,11 +87,11 @@
     assert not route._replace(is_resumable=False).is_repeatable
 
 
-def test_of_an_unknown_kind_nothing_is_repeated() -> None:
-    """A later platform names a kind that this version does not know.
+def test_route_of_unknown_kind_is_not_repeatable() -> None:
+    """A newer platform version may name a kind that this version does not support.
 
-    Sent twice, a booking of that kind would be made twice; treated as non-idempotent
-    it is at worst answered with an error.
+    A retry could run a booking twice; as non-idempotent, it fails with an error at
+    worst.
     """
     route = _read().find("host.example", "/a/b/")
     assert route is not None
@@ -99,7 +99,7 @@
     assert not route.is_repeatable
 
 
-def test_teams_keep_their_keys_and_limits() -> None:
+def test_teams_have_their_keys_and_quotas() -> None:
     found = _read()
     team = found.teams_by_key["k2"]
     assert (team.name, team.rank) == ("blue", 0)
@@ -110,8 +110,8 @@
     assert not _read(without).needs_keys
 
 
-def test_a_teams_rank_goes_before_its_routes() -> None:
-    """All teams have one rank: then the routes tell important work from other work."""
+def test_team_rank_takes_precedence_over_route_rank() -> None:
+    """Routes order the requests of teams that have equal ranks."""
     route = _read().find("host.example", "/a/")
     assert route is not None
     first = routing.Team("first", 0, None)
@@ -129,7 +129,7 @@
     assert routing.rank_of(unranked, route) < routing.rank_of(unranked, low)
 
 
-def test_weights_share_a_route_between_services() -> None:
+def test_route_keeps_only_services_with_positive_weight() -> None:
     shares = [{"service": "chat", "weight": 90}, {"service": "plain", "weight": 0}]
     split = {key: ROUTE[key] for key in ROUTE if key != "service"}
     found = _read(DOCUMENT | {"routes": [split | {"backends": shares}]})
@@ -141,12 +141,12 @@
 @pytest.mark.parametrize(
     "text", ["", "[]", "{}", '{"version": "x"}', "\x00", "[" * 5000]
 )
-def test_what_is_no_document_is_refused(text: str) -> None:
+def test_invalid_document_is_refused(text: str) -> None:
     with pytest.raises(exceptions.SchemaError):
         documents.read(1, text)
 
 
-def test_an_entry_names_a_server() -> None:
+def test_valid_entry_is_decoded() -> None:
     found = entries.decode("i-1", json.dumps(ENTRY).encode(), 9)
     assert found is not None
     assert (found.name, found.service, found.address) == (
@@ -178,17 +178,17 @@
         {"born": "yesterday"},
     ],
 )
-def test_an_entry_of_another_writer_names_no_server(change: dict) -> None:
+def test_invalid_entry_is_skipped(change: dict) -> None:
     assert entries.decode("i-1", json.dumps(ENTRY | change).encode(), 9) is None
 
 
 @hypothesis.given(strategies.binary(max_size=200))
-def test_no_bytes_in_an_entry_stop_the_others(data: bytes) -> None:
+def test_entry_of_arbitrary_bytes_raises_nothing(data: bytes) -> None:
     found = entries.decode("i-1", data, 9)
     assert found is None or found.name == "i-1"
 
 
-CALLER = [
+CALLER_HEADERS = [
     (b"host", b"Host.Example:80"),
     (b"cassiaquay-attempt-id", b"9c41d07be2a35f68"),
     (b"cassiaquay-deadline-ms", b"1500"),
@@ -199,30 +199,30 @@
 ]
 
 
-def test_headers_say_what_a_request_is() -> None:
-    parsed = headers.read(CALLER)
+def test_request_headers_are_decoded() -> None:
+    parsed = headers.read(CALLER_HEADERS)
     assert (parsed.host, parsed.attempt) == ("host.example", "9c41d07be2a35f68")
     assert (parsed.deadline_ms, parsed.key) == (1500, "k1")
     assert (parsed.prompt_tokens, parsed.most_output_tokens) == (1460, 80)
     assert parsed.output_tokens == 80
     assert parsed.last_event == -1
     assert [part.tokens for part in parsed.parts] == [800, 410, 250]
-    hinted = headers.read([*CALLER, (b"cassiaquay-length-hint", b"30")])
+    hinted = headers.read([*CALLER_HEADERS, (b"cassiaquay-length-hint", b"30")])
     assert hinted.output_tokens == 30
 
 
-def test_equal_parts_after_other_parts_are_other_parts() -> None:
-    """A cache holds a part only behind the parts before it."""
+def test_equal_prompt_parts_after_different_parts_have_different_keys() -> None:
+    """A prompt cache can reuse a part only after identical preceding parts."""
     one = headers.read([(b"cassiaquay-prompt-prefix", b"a:1,b:2")]).parts
     other = headers.read([(b"cassiaquay-prompt-prefix", b"c:1,b:2")]).parts
     assert one[1].key != other[1].key
 
 
-def test_what_a_caller_must_not_set_is_dropped() -> None:
-    """A caller sends the headers by which this system speaks to servers.
+def test_reserved_headers_of_caller_are_dropped() -> None:
+    """A caller sends headers that are reserved between this system and its servers.
 
-    Passed on, they would name another team, claim held capacity, pin memory or go on
-    in another request's memory. Its key is for this system only.
+    Forwarded, they would forge a team, claim held capacity, pin memory or read another
+    request's cache. The caller's API key must not be forwarded either.
     """
     forged = [
         (b"cassiaquay-tenant", b"other"),
@@ -236,7 +236,7 @@
         (b"connection", b"x-private, cassiaquay-model"),
         (b"x-private", b"1"),
     ]
-    found = headers.towards_server([*CALLER, *forged], "i-1", "blue", 900, -1)
+    found = headers.towards_server([*CALLER_HEADERS, *forged], "i-1", "blue", 900, -1)
     names = [name.lower() for name, _ in found]
     values = dict(found)
     assert values["Cassiaquay-Tenant"] == "blue"
@@ -246,16 +246,16 @@
     assert names.count("cassiaquay-expect-instance") == 1
     for name in ("api-key", "x-private", "kv-from", "kv-fetch", "cassiaquay-hold"):
         assert name not in names
-    # What identifies the request stays, whatever the caller lists as its connection's.
+    # Headers that identify the request stay, even if listed in Connection.
     assert values["cassiaquay-model"] == "m"
     assert values["cassiaquay-attempt-id"] == "9c41d07be2a35f68"
-    resumed = dict(headers.towards_server(CALLER, "i-1", "", 900, 12))
+    resumed = dict(headers.towards_server(CALLER_HEADERS, "i-1", "", 900, 12))
     assert resumed["last-event-id"] == "12"
     assert "Cassiaquay-Tenant" not in resumed
 
 
 @hypothesis.given(strategies.binary(max_size=60), strategies.binary(max_size=60))
-def test_no_header_value_stops_a_request(counts: bytes, prefix: bytes) -> None:
+def test_arbitrary_header_values_raise_nothing(counts: bytes, prefix: bytes) -> None:
     parsed = headers.read(
         [
             (b"cassiaquay-token-counts", counts),
@@ -268,8 +268,8 @@
     assert parsed.deadline_ms >= 0
 
 
-def test_no_other_module_spells_a_name_of_the_platform() -> None:
-    """The platform's spelling changes in one folder, or it is found everywhere."""
+def test_platform_names_occur_only_in_platform_package() -> None:
+    """A change of the platform's names must affect only the platform package."""
     spelled = re.compile(
         r"(^|[^-\w])Cassiaquay-[A-Z]|cassiaquay-[a-z]+-id|/cassiaquay/(ready|resolve|kv-)"
         r"|op/config|slo-ms|path-prefix|api-keys|gap-target"
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Reads of the platform's store, as it is slow, busy, forgetful or gone."""
+"""Reads of the platform's store while it is slow, busy, compacted or unreachable."""
 
 import asyncio
 import contextlib
@@ -12,8 +12,8 @@
 from cassiaquay_dev.standins import raw_servers
 
 
-class Odd(standins.Store):
-    """A store whose next answers are written by the test."""
+class ScriptedStore(standins.Store):
+    """A store that answers with raw bytes given by the test."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,7 +22,7 @@
     async def respond(
         self, request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        """Write the next raw answer, or a usual one."""
+        """Write the next raw answer, or a normal one if there is none."""
         if not self.raw:
             await super().respond(request, writer)
             return
@@ -40,7 +40,7 @@
 
 @contextlib.asynccontextmanager
 async def _store():
-    served = Odd()
+    served = ScriptedStore()
     await served.start()
     async with aiohttp.ClientSession() as http:
         yield served, http
@@ -56,7 +56,7 @@
 
 
 def test_all_pages_are_read() -> None:
-    async def work(served: Odd, http: aiohttp.ClientSession) -> None:
+    async def work(served: ScriptedStore, http: aiohttp.ClientSession) -> None:
         for number in range(7):
             served.put(f"servers/i-{number}", {"number": number})
         served.put("other", {})
@@ -80,10 +80,10 @@
         b"",
     ],
 )
-def test_what_is_no_answer_is_an_error_of_the_platform(raw: bytes) -> None:
-    async def work(served: Odd, http: aiohttp.ClientSession) -> None:
+def test_unusable_answer_raises_platform_error(raw: bytes) -> None:
+    async def work(served: ScriptedStore, http: aiohttp.ClientSession) -> None:
         client = store.Store(http, served.address)
-        # A lost answer: the connection stays open and nothing comes.
+        # Empty bytes stand for a lost answer: the connection stays open and silent.
         served.raw = [raw or None]
         with pytest.raises(exceptions.PlatformError):
             await client.items("servers/")
@@ -93,8 +93,8 @@
     _run(work)
 
 
-def test_a_store_that_is_down_is_an_error_of_the_platform() -> None:
-    async def work(served: Odd, http: aiohttp.ClientSession) -> None:
+def test_unreachable_store_raises_platform_error() -> None:
+    async def work(served: ScriptedStore, http: aiohttp.ClientSession) -> None:
         await served.stop()
         with pytest.raises(exceptions.PlatformError):
             await store.Store(http, served.address).item("op/config")
@@ -102,8 +102,8 @@
     _run(work)
 
 
-def test_a_value_that_cannot_be_read_leaves_the_others() -> None:
-    async def work(served: Odd, http: aiohttp.ClientSession) -> None:
+def test_invalid_value_does_not_affect_other_keys() -> None:
+    async def work(served: ScriptedStore, http: aiohttp.ClientSession) -> None:
         body = (
             '{"items": [{"key": "a", "value": "?", "revision": 1},'
             ' {"key": "b", "value": "eA==", "revision": 2}], "current-rev": 9}'
@@ -115,13 +115,13 @@
     _run(work)
 
 
-def test_a_forgotten_history_costs_one_read() -> None:
-    """The store has dropped the changes that a watch wants to go on from.
+def test_compacted_history_is_replaced_by_one_read() -> None:
+    """The store has compacted the changes after the revision of a watch (status 410).
 
-    The key itself is read: the newest configuration is there, whatever was missed.
+    The client reads the key itself and gets the newest configuration.
     """
 
-    async def work(served: Odd, http: aiohttp.ClientSession) -> None:
+    async def work(served: ScriptedStore, http: aiohttp.ClientSession) -> None:
         texts = store.ConfigurationStore(http, served.address)
         assert await texts.watch(0, 0.0) is None
         served.put("op/config", b"one")
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""What callers reach over HTTP: bad input, questions about ids, relays."""
+"""The callers' HTTP interface: invalid input, queries about ids, relays."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class Members:
-    """Membership as a web layer needs it: who lives, by name."""
+    """A fake membership: live members and last membership records, by name."""
 
     def __init__(self) -> None:
         self.alive: dict[str, messages.Member] = {}
@@ -108,26 +108,26 @@
     asyncio.run(bounded())
 
 
-async def trickle() -> typing.AsyncIterator[bytes]:
+async def send_slowly() -> typing.AsyncIterator[bytes]:
     for _ in range(100):
         yield b" "
         await asyncio.sleep(0.02)
 
 
-async def endless() -> typing.AsyncIterator[bytes]:
+async def send_too_much() -> typing.AsyncIterator[bytes]:
     for _ in range(100):
         yield b" " * 65536
 
 
-BAD = [
+INVALID_INPUTS = [
     ({"data": BODY, "headers": {**AUTH, "Content-Type": "text/plain"}}, 415),
     ({"data": b"{", "headers": JSON}, 400),
     ({"data": b"[" * 50000, "headers": JSON}, 400),
     ({"data": b"\xff\xfe", "headers": JSON}, 400),
     ({"data": b'{"service":"tutor","nope":1}', "headers": JSON}, 400),
     ({"data": b" " * 1048577, "headers": JSON}, 413),
-    ({"data": endless(), "headers": JSON}, 413),
-    ({"data": trickle(), "headers": JSON}, 408),
+    ({"data": send_too_much(), "headers": JSON}, 413),
+    ({"data": send_slowly(), "headers": JSON}, 408),
     ({"data": BODY, "headers": {**JSON, "X-Large": "x" * 20000}}, 431),
     ({"data": BODY, "headers": {"Content-Type": "application/json"}}, 401),
     ({"data": BODY, "headers": {**JSON, "Authorization": "Bearer no"}}, 401),
@@ -135,12 +135,12 @@
 ]
 
 
-@pytest.mark.parametrize(("call", "status"), BAD)
-def test_bad_input_is_told_with_a_code_and_never_dispatched(call, status):
-    """The caller sees a coded 4xx, and its next try under the same id is served.
+@pytest.mark.parametrize(("call", "status"), INVALID_INPUTS)
+def test_invalid_input_is_refused_with_code_and_not_dispatched(call, status):
+    """The caller gets a 4xx with a code, and the request is not dispatched.
 
-    Only what the owner itself judged is "not run"; calls turned away before that say
-    nothing of the id.
+    The outcome is "not run" only if the owner refused the request; a call refused
+    before that states no outcome for the id.
     """
 
     async def work() -> None:
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("text", ["x", "cq-1.0123456789ab.1.0123456789abcdef~a"])
-def test_ids_that_are_none_of_ours_are_bad(text):
+def test_unsigned_ids_are_refused_as_bad(text):
     async def work() -> None:
         async with serve() as (bench, first, _, _, http):
             url = f"http://{first.address}/v1/requests/{text}"
@@ -171,8 +171,8 @@
     run(work())
 
 
-def test_questions_about_an_id_are_answered_with_200_and_what_is_known():
-    """The caller reads what became of an id from the body, whatever it is."""
+def test_queries_about_an_id_return_200_with_its_state():
+    """Each outcome of an id, also an unknown one, is in the body of a 200."""
 
     async def work() -> None:
         async with serve() as (bench, first, second, members, http):
@@ -197,8 +197,8 @@
     run(work())
 
 
-def test_a_request_at_another_instance_is_relayed_with_its_credential():
-    """The caller reaches any instance and reads the owner's answer."""
+def test_request_at_another_instance_is_relayed_with_its_credential():
+    """A caller may send to any instance and reads the owner's answer."""
 
     async def work() -> None:
         async with serve() as (bench, _, second, _, http):
@@ -211,11 +211,10 @@
     run(work())
 
 
-def test_a_relay_gives_up_on_an_owner_that_is_heard_of_no_more():
-    """The caller of another instance sees outcome_unknown soon, not silence.
+def test_relay_ends_when_owner_leaves_membership():
+    """A paused owner keeps its connections open and sends nothing, not even heartbeats.
 
-    The owner holds the request and is paused: its connections stay open and say
-    nothing, while its heartbeats stop.
+    The relaying instance answers outcome_unknown instead of waiting for the owner.
     """
 
     async def work() -> None:
@@ -232,11 +231,11 @@
     run(work())
 
 
-def test_a_stream_still_in_prefill_is_found_at_the_engine(monkeypatch):
-    """The caller of a dead owner waits for its answer instead of "unknown".
+def test_stream_in_prefill_is_recovered_from_engine(monkeypatch):
+    """The owner has failed, and an engine holds its stream without any event yet.
 
-    The engine holds the stream and has not made an event yet; that takes longer than
-    the other engines need to say that they do not hold it.
+    Prefill takes longer than the other engines need to report that they do not hold the
+    stream. The caller must wait for the answer instead of getting "unknown".
     """
 
     async def work() -> None:
@@ -268,11 +267,11 @@
     run(work())
 
 
-def test_an_owner_that_comes_back_leaves_a_stream_that_is_read_elsewhere(monkeypatch):
-    """The caller goes on reading at another instance; its answer is not cut.
+def test_recovered_owner_keeps_stream_that_another_instance_reads(monkeypatch):
+    """An owner is paused, and its caller continues to read at another instance.
 
-    The owner was paused. It comes back, finds that its own caller has gone, and would
-    stop the engine's stream after the grace time.
+    When the owner recovers, its caller has disconnected, and without a hold it would
+    stop the engine's stream after the grace period.
     """
 
     async def work() -> None:
