--- a/packages/daemon/cassiaquay_daemon/adapters/backends.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/backends.py
@@ -212,12 +212,14 @@
                 if response.status != 200:
                     return None
                 body = await response.read()
-                found = msgspec.json.decode(body, type=_CancelBody)
+                body_fields = msgspec.json.decode(body, type=_CancelBody)
         except (TimeoutError, aiohttp.ClientError, OSError):
             return None
         except msgspec.DecodeError:
             return None
-        return WastedTokens(found["prefilled_tokens"], found["generated_tokens"])
+        return WastedTokens(
+            body_fields["prefilled_tokens"], body_fields["generated_tokens"]
+        )
 
     async def _resume_with_retries(
         self, server: fleet.Server, key: str, answer: answers.Answer
--- a/packages/daemon/cassiaquay_daemon/gateway/accepting.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/accepting.py
@@ -78,12 +78,12 @@
 
     def _team(
         self,
-        found: routing.Routing,
+        routes: routing.Routing,
         route: routing.Route,
         parsed: headers.ParsedHeaders,
     ) -> routing.Team | None:
-        team = found.teams_by_key.get(parsed.key) if parsed.key else None
-        if team is None and found.needs_keys and not route.is_public:
+        team = routes.teams_by_key.get(parsed.key) if parsed.key else None
+        if team is None and routes.needs_keys and not route.is_public:
             raise self._or_not_ready(exceptions.Unauthorized())
         return team
 
--- a/packages/daemon/cassiaquay_daemon/gateway/admission.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/admission.py
@@ -67,7 +67,7 @@
 
     Parameters
     ----------
-    demanded : Demands
+    demand_client : Demands
         Sends demands to the keepers.
     membership : Membership
         Lists the instances that share the servers.
@@ -77,11 +77,11 @@
 
     def __init__(
         self,
-        demanded: demands.Demands,
+        demand_client: demands.Demands,
         membership: members.Membership,
         cold: slow_start.SlowStart,
     ):
-        self._demands = demanded
+        self._demands = demand_client
         self._membership = membership
         self._cold = cold
         self._outstanding: collections.Counter[str] = collections.Counter()
--- a/packages/daemon/cassiaquay_daemon/gateway/connections.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/connections.py
@@ -43,7 +43,7 @@
         _ResetDetectingHandler, loop=connector._loop
     )
     connector._factory = factory
-    found = aiohttp.ClientSession(
+    session = aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
@@ -52,13 +52,13 @@
     )
     # By default aiohttp resends a GET when a kept-alive connection closes during it.
     # The server may have run it by then; only the gateway may decide on a retry.
-    found._retry_connection = False
-    return found
+    session._retry_connection = False
+    return session
 
 
 def _create_socket(info: aiohttp.connector.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = info
-    found = socket.socket(family=family, type=kind, proto=protocol)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
-    return found
+    created = socket.socket(family=family, type=kind, proto=protocol)
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+    return created
--- a/packages/daemon/cassiaquay_daemon/gateway/directory.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/directory.py
@@ -26,7 +26,7 @@
         Tells whether this instance has a configuration.
     pauses : Pauses
         Tells whether this instance's state is current after a start or a pause.
-    served : Front
+    request_front : Front
         Tells whether this instance is shutting down.
     """
 
@@ -36,13 +36,13 @@
         membership: members.Membership,
         configured: configuration.Configuration,
         pauses: pause.Pauses,
-        served: front.Front,
+        request_front: front.Front,
     ):
         self._settings = settings
         self._membership = membership
         self._configured = configured
         self._pauses = pauses
-        self._front = served
+        self._front = request_front
 
     @property
     def is_ready(self) -> bool:
--- a/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
@@ -119,14 +119,16 @@
     def _check_answer(
         self, call: calls.Call, response: aiohttp.ClientResponse
     ) -> Answer:
-        found = response.headers
-        if headers.NOT_EXECUTED in found or response.status == 421:
+        answer_headers = response.headers
+        if headers.NOT_EXECUTED in answer_headers or response.status == 421:
             raise exceptions.Declined(f"status {response.status}")
-        if found.get(headers.ATTEMPT.decode(), "") != call.parsed.attempt:
+        if answer_headers.get(headers.ATTEMPT.decode(), "") != call.parsed.attempt:
             # A surplus answer on a kept-alive connection belongs to an earlier request
             # and may be another caller's.
             raise exceptions.StreamCut("the answer does not carry this attempt's id")
-        return Answer(response, response.status, headers.towards_caller(found.items()))
+        return Answer(
+            response, response.status, headers.towards_caller(answer_headers.items())
+        )
 
 
 async def read_body(answer: Answer) -> bytes:
--- a/packages/daemon/cassiaquay_daemon/gateway/front.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/front.py
@@ -13,28 +13,28 @@
 
     Parameters
     ----------
-    accepted : Acceptor
+    acceptor : Acceptor
         Validates requests.
-    served : RequestHandler
+    handler : RequestHandler
         Serves the accepted requests.
     reply : Replies
         Builds the answers; announces the shutdown to callers.
-    noted : Accounting
+    accounts : Accounting
         Records requests that are refused before they have a route.
     """
 
     def __init__(
         self,
-        accepted: accepting.Acceptor,
-        served: serving.RequestHandler,
+        acceptor: accepting.Acceptor,
+        handler: serving.RequestHandler,
         reply: replies.Replies,
-        noted: accounting.Accounting,
+        accounts: accounting.Accounting,
     ):
         self.open_count = 0
-        self._accepting = accepted
-        self._serving = served
+        self._acceptor = acceptor
+        self._handler = handler
         self._replies = reply
-        self._accounts = noted
+        self._accounts = accounts
 
     @property
     def leaving(self) -> bool:
@@ -61,7 +61,7 @@
         began_at = clock.now()
         parsed = headers.read(scope["headers"])
         try:
-            call = await self._accepting.accept(scope, receive, parsed, began_at)
+            call = await self._acceptor.accept(scope, receive, parsed, began_at)
         except exceptions.Refusal as refusal:
             replies.log_refused(parsed, refusal, began_at)
             self._accounts.record_refused(parsed, refusal)
@@ -71,21 +71,23 @@
             logs.event("caller_gone", id=parsed.attempt, sent=False)
             return
         state = progress.RequestState(call)
-        work = asyncio.create_task(self._serving.serve(state, send))
-        gone = asyncio.create_task(streams.disconnected(receive))
-        done, _ = await asyncio.wait([work, gone], return_when=asyncio.FIRST_COMPLETED)
+        work = asyncio.create_task(self._handler.serve(state, send))
+        disconnected = asyncio.create_task(streams.disconnected(receive))
+        done, _ = await asyncio.wait(
+            [work, disconnected], return_when=asyncio.FIRST_COMPLETED
+        )
         if work in done:
-            gone.cancel()
+            disconnected.cancel()
         else:
             self._handle_disconnect(state, work)
-        await asyncio.gather(work, gone, return_exceptions=True)
+        await asyncio.gather(work, disconnected, return_exceptions=True)
 
     def _handle_disconnect(
         self, state: progress.RequestState, work: "asyncio.Task[None]"
     ) -> None:
-        # A request that has not been sent, or that may be repeated, is cancelled: its
-        # server need not work for a caller that has disconnected. A request that may
-        # not run twice runs to its end, because an abort could leave it half done.
+        # A stream, a request that may be repeated and one that has not been sent are
+        # cancelled: no server should work for a caller that has disconnected. Any other
+        # request runs to its end, because an abort could leave its work half done.
         call = state.call
         if call.is_stream or call.route.is_repeatable or not state.may_have_run:
             work.cancel()
--- a/packages/daemon/cassiaquay_daemon/gateway/passing.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/passing.py
@@ -40,25 +40,25 @@
         pairs = replies.drop_content_length(answer.headers)
         await send(reply.start(answer.status, pairs))
     async for data in forwarding.stream_body(answer):
-        found = splitter.feed(data)
+        received = splitter.feed(data)
         if splitter.is_too_long:
             raise exceptions.StreamCut("an event is too long")
-        if not found.event_count:
+        if not received.event_count:
             continue
-        _check_event_order(state, found)
-        tally.add(found.event_count)
-        if found.last != events.NO_EVENT:
-            state.last_event = found.last
-        await send(replies.part(found.data, True))
+        _check_event_order(state, received)
+        tally.add(received.event_count)
+        if received.last != events.NO_EVENT:
+            state.last_event = received.last
+        await send(replies.part(received.data, True))
     if not splitter.is_empty:
         raise exceptions.StreamCut("the stream ends within an event")
     await send(replies.part(b"", False))
 
 
-def _check_event_order(state: progress.RequestState, found: events.Events) -> None:
+def _check_event_order(state: progress.RequestState, received: events.Events) -> None:
     # A server that restarts the stream instead of resuming it, or skips events, would
     # mix the output of two runs in one answer; breaking the stream is safer.
-    if events.NO_EVENT in (found.first, state.last_event):
+    if events.NO_EVENT in (received.first, state.last_event):
         return
-    if found.first != state.last_event + 1:
-        raise exceptions.StreamCut(f"event {found.first} after {state.last_event}")
+    if received.first != state.last_event + 1:
+        raise exceptions.StreamCut(f"event {received.first} after {state.last_event}")
--- a/packages/daemon/cassiaquay_daemon/gateway/service.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/service.py
@@ -44,10 +44,10 @@
     """Components of the daemon that the gateway uses."""
 
     configured: configuration.Configuration
-    known: servers.Servers
+    server_list: servers.Servers
     membership: members.Membership
     links: peers.Peers
-    demanded: demands.Demands
+    demand_client: demands.Demands
     cold: slow_start.SlowStart
     crashes: crash_reports.CrashReports
     pauses: pause.Pauses
@@ -75,9 +75,11 @@
         self._gateway = settings.gateway
         self._membership = shared.membership
         self._parts = parts
-        accepted = accepting.Acceptor(shared.configured, shared.known, shared.pauses)
+        acceptor = accepting.Acceptor(
+            shared.configured, shared.server_list, shared.pauses
+        )
         self._front = front.Front(
-            accepted, serving.RequestHandler(parts), parts.reply, parts.accounting
+            acceptor, serving.RequestHandler(parts), parts.reply, parts.accounting
         )
         self._directory = directory.Directory(
             settings, shared.membership, shared.configured, shared.pauses, self._front
@@ -102,7 +104,7 @@
     def adopt(self, settings: settings_schema.Settings) -> None:
         """Apply changed settings of retry budgets and team limits."""
         self._parts.budget.adopt(settings)
-        self._parts.limited.adopt(settings)
+        self._parts.team_limits.adopt(settings)
 
     async def drain(self) -> None:
         """Stop accepting and complete the open requests within the grace period."""
@@ -149,7 +151,7 @@
     """Return a gateway built from the components of a daemon."""
     parts = serving.Parts(
         shared.configured,
-        admission.Admission(shared.demanded, shared.membership, shared.cold),
+        admission.Admission(shared.demand_client, shared.membership, shared.cold),
         forwarding.Forwarder(connections.create_session()),
         budgets.RetryBudget(settings, shared.membership.fleet_size),
         shared.crashes,
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -50,7 +50,7 @@
     ----------
     configured : Configuration
         Configuration; checked again right before the first byte is sent.
-    admitted : Admission
+    capacity : Admission
         Obtains capacity.
     forwarder : Forwarder
         Sends requests to servers.
@@ -58,7 +58,7 @@
         Limits retries.
     crashes : CrashReports
         Quarantines requests that crash servers.
-    limited : Quotas
+    team_limits : Quotas
         Enforces the teams' limits.
     pauses : Pauses
         Tells whether this process's state is current after a start or a pause.
@@ -69,11 +69,11 @@
     """
 
     configured: configuration.Configuration
-    admitted: admission.Admission
+    capacity: admission.Admission
     forwarder: forwarding.Forwarder
     budget: budgets.RetryBudget
     crashes: crash_reports.CrashReports
-    limited: quotas.Quotas
+    team_limits: quotas.Quotas
     pauses: pause.Pauses
     reply: replies.Replies
     accounting: accounting.Accounting
@@ -100,7 +100,9 @@
             self._check_quarantine(state)
             async with asyncio.timeout(max(call.seconds_left, 0.0)):
                 patience = call.objective_seconds_left * LIMIT_WAIT_SHARE
-                taken = await self._parts.limited.take(call.team, call.parsed, patience)
+                taken = await self._parts.team_limits.take(
+                    call.team, call.parsed, patience
+                )
                 await self._dispatch_until_answered(state, send)
         except exceptions.Refusal as refusal:
             await self._end_refused(state, send, refusal)
@@ -122,7 +124,7 @@
             await self._end_refused(state, send, lost())
         finally:
             if taken is not None and not state.may_have_run:
-                self._parts.limited.give_back(taken)
+                self._parts.team_limits.give_back(taken)
 
     async def _dispatch_until_answered(
         self, state: progress.RequestState, send: replies.Send
@@ -187,7 +189,7 @@
     ) -> None:
         """Dispatch once and forward the answer to the caller."""
         call = state.call
-        ticket = await self._parts.admitted.obtain(
+        ticket = await self._parts.capacity.obtain(
             call, state.tries, state.unreachable, state.tried
         )
         state.server = ticket.server.name
@@ -224,9 +226,9 @@
             raise
         finally:
             if sent_at:
-                self._parts.admitted.report_ended(ticket, sent_at, outcome)
+                self._parts.capacity.report_ended(ticket, sent_at, outcome)
             else:
-                self._parts.admitted.return_unused(ticket)
+                self._parts.capacity.return_unused(ticket)
 
     async def _exchange(
         self,
@@ -297,7 +299,7 @@
         # From here on the request may run. Only a server that reports that it did not
         # run it takes this back.
         state.runs += 1
-        self._parts.admitted.report_dispatched(ticket)
+        self._parts.capacity.report_dispatched(ticket)
         call = state.call
         logs.event(
             "dispatch",
@@ -373,14 +375,14 @@
     )
 
 
-def _is_allowed(call: calls.Call, found: routing.Routing) -> bool:
+def _is_allowed(call: calls.Call, routes: routing.Routing) -> bool:
     """Return whether a newer configuration still allows the request."""
-    route = found.find(call.parsed.host, call.target.partition("?")[0])
+    route = routes.find(call.parsed.host, call.target.partition("?")[0])
     if route is None or call.service not in {share.service for share in route.shares}:
         return False
     if call.team is None:
-        return route.is_public or not found.needs_keys
-    team = found.teams_by_key.get(call.parsed.key)
+        return route.is_public or not routes.needs_keys
+    team = routes.teams_by_key.get(call.parsed.key)
     return team is not None and team.name == call.team.name
 
 
--- a/packages/daemon/cassiaquay_daemon/interface/addresses.py
+++ b/packages/daemon/cassiaquay_daemon/interface/addresses.py
@@ -35,9 +35,9 @@
     """Return the addresses for a caller in ``domain``, best first."""
     serving = membership.serving()
     ranked = sorted(serving, key=lambda member: _ranking_key(member, domain))
-    found = []
+    selected = []
     for member in ranked[:MAX_ADDRESSES]:
-        found.append(
+        selected.append(
             Address(
                 address=member.http,
                 instance=member.instance,
@@ -45,7 +45,7 @@
                 token=_member_token(settings, membership, member),
             )
         )
-    return AddressAnswer(keep_seconds=settings.owner.keep_seconds, addresses=found)
+    return AddressAnswer(keep_seconds=settings.owner.keep_seconds, addresses=selected)
 
 
 def _ranking_key(member: messages.Member, domain: str) -> float:
--- a/packages/daemon/cassiaquay_daemon/interface/holds.py
+++ b/packages/daemon/cassiaquay_daemon/interface/holds.py
@@ -25,7 +25,7 @@
 
     Parameters
     ----------
-    passing : Relay
+    owner_relay : Relay
         Sends requests to owners.
     last_heard : callable
         Returns the last membership record of an instance, also of a silent one.
@@ -33,10 +33,10 @@
 
     def __init__(
         self,
-        passing: relay.Relay,
+        owner_relay: relay.Relay,
         last_heard: collections.abc.Callable[[str], messages.Member | None],
     ):
-        self._relay = passing
+        self._relay = owner_relay
         self._last_heard = last_heard
         self._tasks: set[asyncio.Task[None]] = set()
 
--- a/packages/daemon/cassiaquay_daemon/interface/relay.py
+++ b/packages/daemon/cassiaquay_daemon/interface/relay.py
@@ -47,13 +47,13 @@
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
         """Forward status, type and body; omit the last chunk if the relay is cut."""
-        passing = asyncio.create_task(self._pass(send))
-        watching = asyncio.create_task(streams.disconnected(receive))
+        forwarding = asyncio.create_task(self._pass(send))
+        watching_caller = asyncio.create_task(streams.disconnected(receive))
         # A paused owner keeps its connections open and sends nothing, so the caller
         # would wait for the whole pause. When the relay is cut, the caller reconnects
         # and the stream is resumed from the engine.
         watching_owner = asyncio.create_task(_wait_until(self._is_gone))
-        tasks = {passing, watching, watching_owner}
+        tasks = {forwarding, watching_caller, watching_owner}
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -61,11 +61,11 @@
         Holds the teams and services.
     membership : Membership
         Finds the instances that own requests.
-    owned : Owner
+    request_owner : Owner
         Table of the requests that this instance owns.
-    passing : Relay
+    owner_relay : Relay
         Relays requests to other owners.
-    recovering : Recovery
+    stream_recovery : Recovery
         Finds the streams of failed owners at the engines.
     pauses : Pauses, optional
         Tells whether this instance's state is current after a start or a pause.
@@ -76,18 +76,18 @@
         settings: settings_schema.Settings,
         configured: configuration.Configuration,
         membership: members.Membership,
-        owned: owner.Owner,
-        passing: relay.Relay,
-        recovering: recovery.Recovery,
+        request_owner: owner.Owner,
+        owner_relay: relay.Relay,
+        stream_recovery: recovery.Recovery,
         pauses: pause.Pauses | None = None,
     ):
         self._settings = settings
         self._configured = configured
         self._membership = membership
-        self._owner = owned
-        self._relay = passing
-        self._recovery = recovering
-        self._holds = holds.Holds(passing, membership.last_heard)
+        self._owner = request_owner
+        self._relay = owner_relay
+        self._recovery = stream_recovery
+        self._holds = holds.Holds(owner_relay, membership.last_heard)
         self._pauses = pauses or pause.Pauses(pause.shortest_lease(settings))
         self._on_refused: list[OnRefused] = []
 
@@ -132,8 +132,8 @@
         # answer would direct all callers here; wait for the next membership refresh.
         await self._pauses.wait(self._settings.membership.refresh_seconds)
         domain = request.query_params.get("domain", "")
-        found = addresses.answer(self._settings, self._membership, domain)
-        return _json(found)
+        answer = addresses.answer(self._settings, self._membership, domain)
+        return _json(answer)
 
     def _handler(
         self, act: Act
@@ -208,12 +208,12 @@
         if call.request.url.path.endswith("/cancel"):
             await self._recovery.cancel(key, call.snapshot, service)
             raise exceptions.OwnerGone()
-        found = await self._recovery.find(key, call.snapshot, service)
+        recovered = await self._recovery.find(key, call.snapshot, service)
         if call.request.method == "DELETE":
             # The engine expires the stream by itself.
             return responses.Response(status_code=204)
         if call.request.url.path.endswith("/outcome"):
-            final = found.answer.final
+            final = recovered.answer.final
             if final is None:
                 return _outcome_response(entries.Told("", "", "dispatched"))
             return _outcome_response(
@@ -221,9 +221,9 @@
             )
         hold = _RecoveredHold(self._holds, call.id, dict(call.request.headers))
         return streams.AnswerResponse(
-            found.answer,
+            recovered.answer,
             _first_event_number(call.request),
-            lambda: found.refusal,
+            lambda: recovered.refusal,
             hold.start,
             hold.stop,
         )
--- a/packages/daemon/cassiaquay_daemon/platform/documents.py
+++ b/packages/daemon/cassiaquay_daemon/platform/documents.py
@@ -89,7 +89,7 @@
     except (msgspec.DecodeError, RecursionError) as error:
         raise schema_exceptions.SchemaError(str(error)) from error
     teams = [(tenant, _team(tenant)) for tenant in document.tenants or []]
-    found = routing.Routing(
+    routes = routing.Routing(
         document.version,
         _routes_by_host(document),
         {key: team for tenant, team in teams for key in tenant.api_keys},
@@ -108,15 +108,15 @@
     for name, team in fleet.teams.items():
         for digest in team.credentials:
             credentials[digest] = name
-    return snapshots.Snapshot(revision, text, fleet, credentials, found)
+    return snapshots.Snapshot(revision, text, fleet, credentials, routes)
 
 
 def _event_tokens(document: _Document) -> dict[str, int]:
-    found = {}
+    tokens_by_service = {}
     for item in document.services:
         if item.engine is not None:
-            found[item.name] = max(item.engine.stride, 1)
-    return found
+            tokens_by_service[item.name] = max(item.engine.stride, 1)
+    return tokens_by_service
 
 
 def _routes_by_host(document: _Document) -> dict[str, list[routing.Route]]:
@@ -172,8 +172,8 @@
 def _fleet(document: _Document) -> fleet_schema.Fleet:
     """Return the fleet that keepers and operators' views derive from a document."""
     ranks = set()
-    for found in document.routes:
-        route = _route(found)
+    for document_route in document.routes:
+        route = _route(document_route)
         ranks.add(routing.rank_of(None, route))
         for tenant in document.tenants or []:
             ranks.add(routing.rank_of(_team(tenant), route))
--- a/packages/daemon/cassiaquay_daemon/platform/headers.py
+++ b/packages/daemon/cassiaquay_daemon/platform/headers.py
@@ -106,30 +106,30 @@
 
 def read(headers: Headers) -> ParsedHeaders:
     """Return the decoded headers; treat an invalid value as absent."""
-    found: dict[bytes, bytes] = {}
+    first_values: dict[bytes, bytes] = {}
     for name, value in headers:
-        found.setdefault(name, value)
-    host = found.get(b"host", b"").decode("latin-1").lower()
-    counts = found.get(COUNTS, b"").split(b",")
+        first_values.setdefault(name, value)
+    host = first_values.get(b"host", b"").decode("latin-1").lower()
+    counts = first_values.get(COUNTS, b"").split(b",")
     prompt_tokens = _parse_number(counts[0], 0)
     max_output_tokens = _parse_number(counts[1], 0) if len(counts) > 1 else 0
     length_hint = (
         min(
-            _parse_number(found.get(LENGTH_HINT, b""), max_output_tokens),
+            _parse_number(first_values.get(LENGTH_HINT, b""), max_output_tokens),
             max_output_tokens,
         )
         or max_output_tokens
     )
     return ParsedHeaders(
         host.partition(":")[0],
-        found.get(ATTEMPT, b"").decode("latin-1"),
-        _parse_number(found.get(DEADLINE, b""), 0),
-        found.get(KEY, b"").decode("latin-1"),
+        first_values.get(ATTEMPT, b"").decode("latin-1"),
+        _parse_number(first_values.get(DEADLINE, b""), 0),
+        first_values.get(KEY, b"").decode("latin-1"),
         prompt_tokens,
         max_output_tokens,
         length_hint,
-        _prompt_parts(found.get(MODEL, b""), found.get(PREFIX, b"")),
-        _parse_number(found.get(LAST_EVENT, b""), -1),
+        _prompt_parts(first_values.get(MODEL, b""), first_values.get(PREFIX, b"")),
+        _parse_number(first_values.get(LAST_EVENT, b""), -1),
     )
 
 
@@ -152,28 +152,28 @@
         Id of the event after which the stream resumes; -1 for its beginning.
     """
     dropped = _RESERVED | _HOP_BY_HOP | _connection_options(headers)
-    found: Pairs = []
+    pairs: Pairs = []
     for name, value in headers:
         if name not in dropped:
-            found.append((name.decode("latin-1"), value.decode("latin-1")))
-    found.append((DEADLINE.decode(), str(max(left_ms, 1))))
-    found.append((EXPECT_SERVER, server))
+            pairs.append((name.decode("latin-1"), value.decode("latin-1")))
+    pairs.append((DEADLINE.decode(), str(max(left_ms, 1))))
+    pairs.append((EXPECT_SERVER, server))
     if team:
-        found.append((TEAM, team))
+        pairs.append((TEAM, team))
     if last_event >= 0:
-        found.append((LAST_EVENT.decode(), str(last_event)))
-    return found
+        pairs.append((LAST_EVENT.decode(), str(last_event)))
+    return pairs
 
 
 def towards_caller(
     headers: collections.abc.Iterable[tuple[str, str]],
 ) -> list[tuple[bytes, bytes]]:
     """Return the headers of a server's answer to send to the caller."""
-    found = []
+    pairs = []
     for name, value in headers:
         if name.lower() not in _HOP_BY_HOP_RESPONSE:
-            found.append((name.encode("latin-1"), value.encode("latin-1")))
-    return found
+            pairs.append((name.encode("latin-1"), value.encode("latin-1")))
+    return pairs
 
 
 def _connection_options(headers: Headers) -> set[bytes]:
@@ -190,7 +190,7 @@
 
 
 def _prompt_parts(model: bytes, text: bytes) -> list[messages.PromptPart]:
-    found: list[messages.PromptPart] = []
+    parts: list[messages.PromptPart] = []
     chain = xxhash.xxh3_64_intdigest(model)
     for piece in text.split(b",")[:MAX_PROMPT_PARTS]:
         name, _, count = piece.strip().rpartition(b":")
@@ -198,8 +198,8 @@
         if not name or not tokens:
             continue
         chain = xxhash.xxh3_64_intdigest(chain.to_bytes(8, "big") + name)
-        found.append(messages.PromptPart(chain, tokens))
-    return found
+        parts.append(messages.PromptPart(chain, tokens))
+    return parts
 
 
 def _parse_number(text: bytes, default: int) -> int:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -291,7 +291,7 @@
 
     async def work(site: Site) -> None:
         parts = mock.Mock()
-        parts.limited.take = mock.AsyncMock(return_value="part")
+        parts.team_limits.take = mock.AsyncMock(return_value="part")
         parts.reply.refuse = mock.AsyncMock()
         state = progress.RequestState(site.call(1))
 
@@ -299,10 +299,10 @@
             state.runs = 0 if returned else 1
             ends(*asked)
 
-        parts.admitted.obtain = obtain
+        parts.capacity.obtain = obtain
         parts.crashes.holds.return_value = False
         await serving.RequestHandler(parts).serve(state, mock.AsyncMock())
-        assert parts.limited.give_back.call_count == returned
+        assert parts.team_limits.give_back.call_count == returned
         assert parts.reply.refuse.await_count == 1
 
     _run(work)
