--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -84,9 +84,9 @@
 
     def obtain(self, number: int, **lists) -> "asyncio.Task[admission.Ticket]":
         """Start to obtain capacity for a request."""
-        refused = lists.get("refused", [])
+        unreachable = lists.get("unreachable", [])
         work = self.admission.obtain(
-            self.call(number), 1, refused, lists.get("tried", [])
+            self.call(number), 1, unreachable, lists.get("tried", [])
         )
         return asyncio.create_task(work)
 
@@ -160,7 +160,7 @@
 
 def test_local_admission_skips_servers_that_failed_the_request() -> None:
     async def work(site: Site) -> None:
-        ticket = await site.obtain(1, refused=["i-1"])
+        ticket = await site.obtain(1, unreachable=["i-1"])
         assert ticket.server.name == "i-2"
         ticket = await site.obtain(2, tried=["i-2"])
         assert ticket.server.name == "i-1"
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -31,7 +31,7 @@
             return
         self.arrivals.append(request.attempt)
         name = request.headers["cassiaquay-expect-instance"].removesuffix("-plain")
-        [engine] = [one for one in self._site.engines if one.name == name]
+        [engine] = [engine for engine in self._site.engines if engine.name == name]
         self._site.store.remove(f"servers/{name}")
         self._site.store.remove(f"servers/{name}-plain")
         engine.name = f"i-{len(self.arrivals)}-again"
@@ -44,16 +44,16 @@
 
     async def work(site: fakes.Site) -> None:
         crashing = CrashingServers(site)
-        asked = 0
+        request_count = 0
         while len(crashing.arrivals) < CRASHES_TO_QUARANTINE:
-            await site.ask("/stream/x", body=CRASHING_BODY, at=asked % 3)
-            asked += 1
-        before = len(crashing.arrivals)
+            await site.ask("/stream/x", body=CRASHING_BODY, at=request_count % 3)
+            request_count += 1
+        arrival_count = len(crashing.arrivals)
         await asyncio.sleep(PROPAGATION_SECONDS)
         for number in range(9):
             got = await site.ask("/stream/x", body=CRASHING_BODY, at=number % 3)
             assert got.status == 503
-        assert len(crashing.arrivals) == before
+        assert len(crashing.arrivals) == arrival_count
         got = await site.ask("/stream/x")
         assert (got.status, got.body) == (200, standins.stream())
 
@@ -64,12 +64,12 @@
     """Guards against refusing requests that ran beside the one that caused a crash."""
 
     async def work(site: fakes.Site) -> None:
-        async def reset(
+        async def reset_connection(
             request: raw_servers.Request, writer: raw_servers.Writer
         ) -> None:
             raw_servers.reset(writer)
 
-        site.answer_first_run_with(reset)
+        site.answer_first_run_with(reset_connection)
         for number in range(6):
             got = await site.ask("/stream/x", at=number % 2)
             assert (got.status, got.body) == (200, standins.stream())
@@ -97,17 +97,17 @@
     fakes.run(work)
 
 
-def test_silence_is_not_taken_for_a_crash() -> None:
-    """Guards against holding a request that servers are too slow for."""
+def test_timeout_is_not_reported_as_crash() -> None:
+    """Guards against quarantining a request whose servers are only too slow."""
 
     async def work(site: fakes.Site) -> None:
-        async def silent(
+        async def send_nothing(
             request: raw_servers.Request, writer: raw_servers.Writer
         ) -> None:
             await asyncio.sleep(60)
 
         for engine in site.engines:
-            engine.act = silent
+            engine.act = send_nothing
         await site.ask("/safe/x", "GET", b"")
         assert not site.daemons[0]._quarantine.suspect_count
 
--- a/tests/test_gateway_schedules.py
+++ b/tests/test_gateway_schedules.py
@@ -134,13 +134,13 @@
 
 def _forget_dispatches(monkeypatch) -> None:
     """Do not record that a request was sent."""
-    mark = serving.RequestHandler._mark_dispatched
+    mark_dispatched = serving.RequestHandler._mark_dispatched
 
-    def forget(self, state, ticket) -> None:
-        mark(self, state, ticket)
+    def mark_and_forget(self, state, ticket) -> None:
+        mark_dispatched(self, state, ticket)
         state.runs = 0
 
-    monkeypatch.setattr(serving.RequestHandler, "_mark_dispatched", forget)
+    monkeypatch.setattr(serving.RequestHandler, "_mark_dispatched", mark_and_forget)
     monkeypatch.setattr(engines, "FAULTS", ("reset", "silent"))
 
 
@@ -155,14 +155,14 @@
 def _accept_truncated(monkeypatch) -> None:
     """Accept a truncated answer as complete."""
 
-    async def read(answer):
+    async def stream_truncated_body(answer):
         try:
             async for part in answer.response.content.iter_any():
                 yield part
         except (TimeoutError, aiohttp.ClientError, OSError):
             return
 
-    monkeypatch.setattr(forwarding, "stream_body", read)
+    monkeypatch.setattr(forwarding, "stream_body", stream_truncated_body)
     monkeypatch.setattr(engines, "FAULTS", ("truncate",))
 
 
@@ -188,8 +188,8 @@
 
 def _forward_forged_team(monkeypatch) -> None:
     """Forward the team header that a caller sends."""
-    own = headers._RESERVED - {b"cassiaquay-tenant"}
-    monkeypatch.setattr(headers, "_RESERVED", own)
+    reserved = headers._RESERVED - {b"cassiaquay-tenant"}
+    monkeypatch.setattr(headers, "_RESERVED", reserved)
     monkeypatch.setattr(headers, "TEAM", "Other-Header")
 
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -34,7 +34,7 @@
             await writer.drain()
 
 
-def _dispatch_until_answered(status: int, body: str = "{}") -> bytes:
+def _raw_answer(status: int, body: str = "{}") -> bytes:
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
 
 
@@ -72,10 +72,10 @@
 @pytest.mark.parametrize(
     "raw",
     [
-        _dispatch_until_answered(503),
-        _dispatch_until_answered(429),
-        _dispatch_until_answered(200, "["),
-        _dispatch_until_answered(200, '{"items": 3}'),
+        _raw_answer(503),
+        _raw_answer(429),
+        _raw_answer(200, "["),
+        _raw_answer(200, '{"items": 3}'),
         b"\x00\x00\r\n\r\n",
         b"",
     ],
@@ -108,7 +108,7 @@
             '{"items": [{"key": "a", "value": "?", "revision": 1},'
             ' {"key": "b", "value": "eA==", "revision": 2}], "current-rev": 9}'
         )
-        served.raw = [_dispatch_until_answered(200, body)]
+        served.raw = [_raw_answer(200, body)]
         found = await store.Store(http, served.address).items("")
         assert [item.value for item in found.items] == [b"", b"x"]
 
@@ -128,14 +128,12 @@
         first = await texts.watch(0, 0.0)
         assert first is not None
         served.put("op/config", b"two")
-        served.raw = [_dispatch_until_answered(410)]
+        served.raw = [_raw_answer(410)]
         second = await texts.watch(first.revision, 1.0)
         assert second is not None
         assert second.text == "two"
         served.raw = [
-            _dispatch_until_answered(
-                200, f'{{"events":[],"current-rev":{second.revision}}}'
-            )
+            _raw_answer(200, f'{{"events":[],"current-rev":{second.revision}}}')
         ]
         assert await texts.watch(second.revision, 1.0) is None
 
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -36,8 +36,8 @@
         return self.heard.get(instance)
 
 
-class Served:
-    """One instance's web layer, served on a free port."""
+class ServedInstance:
+    """The callers' interface of one instance, served on a free port."""
 
     def __init__(self, bench: owner_fakes.Bench, members: Members, http):
         settings = texts.read_settings(owner_fakes.SETTINGS + "body_seconds = 0.3")
@@ -72,11 +72,14 @@
 
 @contextlib.asynccontextmanager
 async def serve():
-    """Yield an owner's bench, its served web layer, a second one, and members."""
+    """Yield an owner's bench, its interface, a second instance's, members, client."""
     bench, other, members = owner_fakes.Bench(), owner_fakes.Bench(), Members()
     other.owner._incarnation = "ba9876543210"
     async with aiohttp.ClientSession() as http:
-        first, second = Served(bench, members, http), Served(other, members, http)
+        first, second = (
+            ServedInstance(bench, members, http),
+            ServedInstance(other, members, http),
+        )
         tasks = [await first.start(), await second.start()]
         members.alive["cq-1"] = messages.Member(
             "cq-1",
@@ -95,8 +98,8 @@
         try:
             yield bench, first, second, members, http
         finally:
-            for one in (first, second):
-                one.server.should_exit = True
+            for instance in (first, second):
+                instance.server.should_exit = True
             await asyncio.gather(*tasks)
 
 
@@ -185,14 +188,17 @@
                     return await response.json()
 
             assert (await ask(first, unseen, "outcome"))["state"] == "unseen"
-            told = await ask(second, unseen, "cancel", "POST")
-            assert (told["outcome"], told["state"]) == ("not_run", "refused")
-            assert await ask(first, unseen, "outcome") == told
-            told = await ask(first, late, "outcome")
-            assert told["outcome"] == "outcome_unknown"
+            outcome = await ask(second, unseen, "cancel", "POST")
+            assert (outcome["outcome"], outcome["state"]) == ("not_run", "refused")
+            assert await ask(first, unseen, "outcome") == outcome
+            outcome = await ask(first, late, "outcome")
+            assert outcome["outcome"] == "outcome_unknown"
             members.alive.clear()
-            told = await ask(second, unseen, "outcome")
-            assert (told["outcome"], told["code"]) == ("outcome_unknown", "owner_gone")
+            outcome = await ask(second, unseen, "outcome")
+            assert (outcome["outcome"], outcome["code"]) == (
+                "outcome_unknown",
+                "owner_gone",
+            )
 
     run(work())
 
@@ -221,10 +227,10 @@
         async with serve() as (bench, _, second, members, http):
             bench.keepers.open = False
             url = f"http://{second.address}/v1/requests/{bench.new_id().text}"
-            asking = asyncio.create_task(http.post(url, data=BODY, headers=JSON))
+            response_task = asyncio.create_task(http.post(url, data=BODY, headers=JSON))
             await owner_fakes.until(lambda: bool(bench.keepers.asked))
             members.alive.clear()
-            async with await asking as response:
+            async with await response_task as response:
                 assert response.status == 502
                 assert (await response.json())["code"] == "owner_gone"
 
@@ -256,10 +262,10 @@
             monkeypatch.setattr(owner_fakes.FakeEngine, "resume", resume)
             name = bench.new_id()
             url = f"http://{second.address}/v1/requests/{name.text}"
-            asking = asyncio.create_task(http.post(url, data=BODY, headers=JSON))
+            response_task = asyncio.create_task(http.post(url, data=BODY, headers=JSON))
             await owner_fakes.until(lambda: len(second.recovery._found) == 1)
             prefilled.set()
-            async with await asking as response:
+            async with await response_task as response:
                 assert b'"outcome":"completed"' in await response.read()
             assert sorted(calls) == ["e-1", "e-2"]
             assert not bench.servers.seen
@@ -291,15 +297,15 @@
             bench.servers.script = [late]
             name = bench.new_id()
             path = f"/v1/requests/{name.text}"
-            asking = asyncio.create_task(
+            response_task = asyncio.create_task(
                 http.post(f"http://{first.address}{path}", data=BODY, headers=JSON)
             )
             await owner_fakes.until(lambda: bool(bench.servers.seen))
             member = members.alive.pop("cq-1")
-            asking.cancel()
+            response_task.cancel()
             entry = bench.owner.table[name.text]
             await owner_fakes.until(lambda: not entry.readers)
-            reading = asyncio.create_task(
+            reading_task = asyncio.create_task(
                 http.get(f"http://{second.address}{path}", headers=AUTH)
             )
             await owner_fakes.until(lambda: bool(second.recovery._found))
@@ -308,7 +314,7 @@
             with owner_fakes.later(monkeypatch, 60.0):
                 bench.owner.sweep_once()
             finish.set()
-            async with await reading as response:
+            async with await reading_task as response:
                 assert b'"outcome":"completed"' in await response.read()
             assert (await owner_fakes.ended(entry))["outcome"] == "completed"
             assert not bench.servers.stopped
