--- a/packages/daemon/cassiaquay_daemon/adapters/backends.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/backends.py
@@ -16,8 +16,8 @@
 from .. import exceptions
 from . import answers, breaks
 
-CONNECT_SECONDS = 2.0
-CANCEL_SECONDS = 3.0
+CONNECT_TIMEOUT_SECONDS = 2.0
+CANCEL_TIMEOUT_SECONDS = 3.0
 RESUME_TRIES = 3
 RESUME_PAUSE_SECONDS = 0.1
 
@@ -137,7 +137,7 @@
 
 def _timeout() -> aiohttp.ClientTimeout:
     # The owner's task ends a request at its deadline, so the client needs no timeout.
-    return aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
+    return aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS)
 
 
 @backends.register("engine-http")
@@ -205,7 +205,7 @@
 
     async def cancel(self, server: fleet.Server, key: str) -> WastedTokens | None:
         """Stop a stream."""
-        timeout = aiohttp.ClientTimeout(total=CANCEL_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT_SECONDS)
         url = f"http://{server.address}/v1/streams/{key}"
         try:
             async with self._http.delete(url, timeout=timeout) as response:
--- a/packages/daemon/cassiaquay_daemon/gateway/connections.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/connections.py
@@ -11,7 +11,7 @@
 
 # Shorter than the servers' own keep-alive time: a server that closes a connection while
 # a request is being sent on it leaves the request's outcome unknown.
-IDLE_SECONDS = 4.0
+IDLE_TIMEOUT_SECONDS = 4.0
 # The kernel drops a connection whose data has not been acknowledged for this long;
 # otherwise a request to a crashed or unreachable server would hang until its deadline.
 TCP_USER_TIMEOUT_MS = 2500
@@ -36,7 +36,7 @@
 def create_session() -> aiohttp.ClientSession:
     """Return the session for proxied requests."""
     connector = aiohttp.TCPConnector(
-        limit=0, keepalive_timeout=IDLE_SECONDS, socket_factory=_create_socket
+        limit=0, keepalive_timeout=IDLE_TIMEOUT_SECONDS, socket_factory=_create_socket
     )
     # aiohttp has no public way to set the protocol class of a connector.
     factory: typing.Any = functools.partial(
--- a/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
@@ -15,7 +15,7 @@
 
 # A connection takes one round trip. One that takes longer waits in a full accept queue
 # or for a crashed machine, and another server answers sooner.
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 FIRST_REDIRECT_STATUS = 300
 FIRST_SERVER_ERROR_STATUS = 500
@@ -63,12 +63,12 @@
         call: calls.Call,
         server: fleet.Server,
         last_event: int,
-        silence: float | None,
+        read_timeout: float | None,
         before_sending: BeforeSending,
     ) -> Answer:
         """Send a request; return its answer once the headers have arrived.
 
-        ``silence`` is the read timeout in seconds, None for no timeout.
+        ``read_timeout`` is in seconds, None for no timeout.
         ``before_sending`` is called when the connection is established and no byte of
         the request has been written; it may raise NotSent.
 
@@ -89,7 +89,7 @@
             last_event,
         )
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=CONNECT_SECONDS, sock_read=silence
+            total=None, sock_connect=CONNECT_TIMEOUT_SECONDS, sock_read=read_timeout
         )
         url = yarl.URL(f"http://{server.address}{call.target}", encoded=True)
         try:
--- a/packages/daemon/cassiaquay_daemon/gateway/service.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/service.py
@@ -27,7 +27,7 @@
 
 # Callers reuse idle connections for most of the configuration's idle timeout. Closing
 # one earlier would lose a request that is being sent on it.
-IDLE_SECONDS = 75
+IDLE_TIMEOUT_SECONDS = 75
 # Share of the grace period in which a draining instance still accepts new requests.
 # Most cached directory answers that name it have expired by then, and a stream of five
 # seconds accepted at the last moment still ends before the process is killed.
@@ -142,7 +142,7 @@
 
     def _listen(self, application: listeners.Application, address: str) -> None:
         bound = early_bind.take(address)
-        server = listeners.server(application, IDLE_SECONDS)
+        server = listeners.server(application, IDLE_TIMEOUT_SECONDS)
         self._servers.append(server)
         self._serving.append(asyncio.create_task(server.serve([bound])))
 
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -33,8 +33,8 @@
 RETRY_PAUSE_SECONDS = 0.01
 # Read timeout of a stream. Callers wait at least two seconds between events, which
 # leaves time to resume the stream at another server.
-STREAM_SILENCE_SECONDS = 1.2
-MIN_SILENCE_SECONDS = 0.25
+STREAM_READ_TIMEOUT_SECONDS = 1.2
+MIN_READ_TIMEOUT_SECONDS = 0.25
 # Prefill rate of a slow engine; it lengthens the read timeout for long prompts, which
 # delay the first event.
 SLOW_PREFILL_TOKENS_PER_SECOND = 20_000.0
@@ -243,7 +243,7 @@
             call,
             ticket.server,
             state.last_event,
-            _silence_seconds(state),
+            _read_timeout_seconds(state),
             before_sending,
         )
         try:
@@ -386,7 +386,7 @@
     return team is not None and team.name == call.team.name
 
 
-def _silence_seconds(state: progress.RequestState) -> float | None:
+def _read_timeout_seconds(state: progress.RequestState) -> float | None:
     """Return the read timeout after which the request goes to another server.
 
     None if it may not be retried: then only its deadline ends it.
@@ -395,8 +395,8 @@
     if not state.is_repeatable_now:
         return None
     if not call.is_stream:
-        return max(call.route.objective_seconds, MIN_SILENCE_SECONDS)
+        return max(call.route.objective_seconds, MIN_READ_TIMEOUT_SECONDS)
     return (
-        STREAM_SILENCE_SECONDS
+        STREAM_READ_TIMEOUT_SECONDS
         + call.parsed.prompt_tokens / SLOW_PREFILL_TOKENS_PER_SECOND
     )
--- a/packages/daemon/cassiaquay_daemon/interface/relay.py
+++ b/packages/daemon/cassiaquay_daemon/interface/relay.py
@@ -13,7 +13,7 @@
 from ..owners import streams
 
 HOP_HEADER = "X-Cassiaquay-Hop"
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 POLL_SECONDS = 0.25
 PASSED_HEADERS = ("authorization", "content-type")
 
@@ -167,7 +167,9 @@
     ) -> aiohttp.ClientResponse:
         # The owner sends the status line of a queued request only when it starts, so
         # there is no read timeout; `forward` stops if the owner leaves the membership.
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
+        timeout = aiohttp.ClientTimeout(
+            total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
+        )
         try:
             return await self._http.request(
                 method, url, headers=headers, data=body or None, timeout=timeout
--- a/packages/daemon/cassiaquay_daemon/platform/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/platform/__init__.py
@@ -14,7 +14,7 @@
 
 from .. import exceptions
 
-ANSWER_SECONDS = 3.0
+ANSWER_TIMEOUT_SECONDS = 3.0
 
 
 class Published(typing.NamedTuple):
@@ -153,7 +153,7 @@
     async def watch(self, after: int, wait: float) -> Published | None:
         """Return a revision newer than ``after``, or None after ``wait`` seconds."""
         url = f"{self._url}?after={after}&wait={wait}"
-        status, body = await _get(self._http, url, wait + ANSWER_SECONDS)
+        status, body = await _get(self._http, url, wait + ANSWER_TIMEOUT_SECONDS)
         if status == 204:
             return None
         if status != 200:
@@ -175,7 +175,7 @@
 
     async def read(self) -> list[ListedInstance]:
         """Return all entries."""
-        status, body = await _get(self._http, self._url, ANSWER_SECONDS)
+        status, body = await _get(self._http, self._url, ANSWER_TIMEOUT_SECONDS)
         if status != 200:
             raise exceptions.PlatformError(f"instance list: status {status}")
         try:
--- a/packages/daemon/cassiaquay_daemon/platform/documents.py
+++ b/packages/daemon/cassiaquay_daemon/platform/documents.py
@@ -9,7 +9,7 @@
 
 from ..configured import routing, snapshots
 
-NAME = "store"
+FORMAT_NAME = "store"
 # The document sets no lower bound; no request can be served in less time.
 MIN_TIMEOUT_MS = 1.0
 KINDS = {
@@ -81,7 +81,7 @@
     tenants: list[_Tenant] | None = None
 
 
-@snapshots.readers.register(NAME)
+@snapshots.readers.register(FORMAT_NAME)
 def read(revision: int, text: str) -> snapshots.Snapshot:
     """Return the snapshot of a document; raise SchemaError if it is invalid."""
     try:
--- a/packages/daemon/cassiaquay_daemon/platform/headers.py
+++ b/packages/daemon/cassiaquay_daemon/platform/headers.py
@@ -134,7 +134,7 @@
 
 
 def towards_server(
-    headers: Headers, server: str, team: str, left_ms: int, last_event: int
+    headers: Headers, server: str, team: str, remaining_ms: int, last_event: int
 ) -> Pairs:
     """Return the headers to send to a backend server.
 
@@ -146,7 +146,7 @@
         Id of the intended server; another server that now has its address declines.
     team : str
         Team of the key; empty on public routes.
-    left_ms : int
+    remaining_ms : int
         Milliseconds until the deadline.
     last_event : int
         Id of the event after which the stream resumes; -1 for its beginning.
@@ -156,7 +156,7 @@
     for name, value in headers:
         if name not in dropped:
             pairs.append((name.decode("latin-1"), value.decode("latin-1")))
-    pairs.append((DEADLINE.decode(), str(max(left_ms, 1))))
+    pairs.append((DEADLINE.decode(), str(max(remaining_ms, 1))))
     pairs.append((EXPECT_SERVER, server))
     if team:
         pairs.append((TEAM, team))
--- a/packages/daemon/cassiaquay_daemon/platform/store.py
+++ b/packages/daemon/cassiaquay_daemon/platform/store.py
@@ -28,7 +28,7 @@
 WATCH_PATH = "/cassiaquay/kv-watch"
 # Longer than a slow store takes to answer. After this time the answer is taken for lost
 # and its connection for broken.
-ANSWER_SECONDS = 0.6
+ANSWER_TIMEOUT_SECONDS = 0.6
 # Enough for thousands of servers; bounds the read of a listing that never ends.
 MAX_PAGES = 200
 
@@ -88,7 +88,7 @@
 
     async def item(self, key: str) -> Item | None:
         """Return the item of ``key``, or None if there is no such key."""
-        status, body = await self._get(ITEM_PATH, {"key": key}, ANSWER_SECONDS)
+        status, body = await self._get(ITEM_PATH, {"key": key}, ANSWER_TIMEOUT_SECONDS)
         if status == 404:
             return None
         _check_status(status)
@@ -100,21 +100,21 @@
         The pages are not one snapshot. The result has the revision of the first page,
         so a key that changes during the read has a higher revision than the result.
         """
-        found: list[Item] = []
+        items: list[Item] = []
         revision = 0
         after = ""
         for _ in range(MAX_PAGES):
             query = {"path-prefix": prefix}
             if after:
                 query["after"] = after
-            status, body = await self._get(RANGE_PATH, query, ANSWER_SECONDS)
+            status, body = await self._get(RANGE_PATH, query, ANSWER_TIMEOUT_SECONDS)
             _check_status(status)
             page = _parse(body, _RangeBody)
             revision = revision or page.current
             for item in page.items:
-                found.append(_decode_item(item))
+                items.append(_decode_item(item))
             if not page.truncated or not page.items:
-                return Items(revision, found)
+                return Items(revision, items)
             after = page.items[-1].key
         raise exceptions.PlatformError(f"{prefix}: more than {MAX_PAGES} pages")
 
@@ -128,13 +128,13 @@
             "after": str(after),
             "wait-ms": str(int(wait * 1000)),
         }
-        status, body = await self._get(WATCH_PATH, query, wait + ANSWER_SECONDS)
+        status, body = await self._get(WATCH_PATH, query, wait + ANSWER_TIMEOUT_SECONDS)
         if status == 410:
             return None
         _check_status(status)
-        found = _parse(body, _WatchBody)
-        if found.events:
-            return found.current
+        watched = _parse(body, _WatchBody)
+        if watched.events:
+            return watched.current
         return after
 
     async def _get(
@@ -165,8 +165,10 @@
         # watch with truncated or compacted events costs one read and misses no change.
         if after and wait:
             revision = max(self._after, after)
-            seen = await self._store.wait_for_change(CONFIGURATION_KEY, revision, wait)
-            if seen == revision:
+            next_revision = await self._store.wait_for_change(
+                CONFIGURATION_KEY, revision, wait
+            )
+            if next_revision == revision:
                 return None
         item = await self._read()
         if item is None:
@@ -181,15 +183,15 @@
 
     async def _read(self) -> Item | None:
         """Return the configuration's item; update the evacuated domains."""
-        found = await self._store.items(OPERATOR_PREFIX)
+        operator_keys = await self._store.items(OPERATOR_PREFIX)
         domains = []
         configuration = None
-        for item in found.items:
+        for item in operator_keys.items:
             if item.key == CONFIGURATION_KEY:
                 configuration = item
             elif item.key.startswith(EVACUATED_PREFIX):
                 domains.append(item.key.removeprefix(EVACUATED_PREFIX))
-        self.evacuated = platform.Evacuated(found.revision, sorted(domains))
+        self.evacuated = platform.Evacuated(operator_keys.revision, sorted(domains))
         return configuration
 
 
@@ -202,14 +204,14 @@
 
     async def read(self) -> platform.ServersRead:
         """Return all servers with a valid entry."""
-        found = await self._store.items(SERVERS_PREFIX)
+        registered = await self._store.items(SERVERS_PREFIX)
         servers: list[messages.ServerEntry] = []
-        for item in found.items:
+        for item in registered.items:
             name = item.key.removeprefix(SERVERS_PREFIX)
             entry = entries.decode(name, item.value, item.revision)
             if entry is not None:
                 servers.append(entry)
-        return platform.ServersRead(found.revision, servers)
+        return platform.ServersRead(registered.revision, servers)
 
 
 @platform.instance_lists.register("none")
