--- a/packages/daemon/cassiaquay_daemon/gateway/accounting.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/accounting.py
@@ -1,4 +1,4 @@
-"""Reports the outcome of each request to metrics and the error budget report."""
+"""Reports the outcome of each request to metrics and the budget burn report."""
 
 import collections.abc
 
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -42,9 +42,9 @@
     raise AssertionError("no body is read of a request without a route")
 
 
-async def _accept(accepted: accepting.Acceptor) -> None:
+async def _accept(acceptor: accepting.Acceptor) -> None:
     parsed = headers.read(HEADERS)
-    await accepted.accept(SCOPE, _receive, parsed, clock.now())
+    await acceptor.accept(SCOPE, _receive, parsed, clock.now())
 
 
 def test_request_waits_for_configuration_after_start() -> None:
@@ -58,14 +58,14 @@
         configured = Configured()
         pauses = pause.Pauses(60.0)
         pauses.hold()
-        accepted = accepting.Acceptor(configured, CurrentServers(), pauses)
-        asked = asyncio.create_task(_accept(accepted))
+        acceptor = accepting.Acceptor(configured, CurrentServers(), pauses)
+        accept_task = asyncio.create_task(_accept(acceptor))
         await asyncio.sleep(0.0)
-        assert not asked.done()
+        assert not accept_task.done()
         configured.current = Snapshot(Routes())
         pauses.renewed()
         with pytest.raises(exceptions.NoRoute):
-            await asked
+            await accept_task
 
     asyncio.run(run())
 
@@ -77,8 +77,8 @@
     async def run() -> None:
         pauses = pause.Pauses(60.0)
         pauses.hold()
-        accepted = accepting.Acceptor(Configured(), CurrentServers(), pauses)
+        acceptor = accepting.Acceptor(Configured(), CurrentServers(), pauses)
         with pytest.raises(exceptions.NotReady):
-            await _accept(accepted)
+            await _accept(acceptor)
 
     asyncio.run(run())
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -28,15 +28,15 @@
     async def work() -> tuple[float, float]:
         loop = asyncio.get_running_loop()
         server = Server()
-        found = service.Gateway.__new__(service.Gateway)
-        found._gateway = settings.Gateway(grace_seconds=8.0)
-        found._front = mock.Mock(open_count=0)
-        found._membership = fakes.Membership("cq-1", [])
-        found._membership.farewell = mock.Mock()
-        found._servers = [server]
-        found._serving = []
-        found._parts = mock.Mock()
-        found._parts.forwarder.close = mock.AsyncMock()
+        gateway = service.Gateway.__new__(service.Gateway)
+        gateway._gateway = settings.Gateway(grace_seconds=8.0)
+        gateway._front = mock.Mock(open_count=0)
+        gateway._membership = fakes.Membership("cq-1", [])
+        gateway._membership.farewell = mock.Mock()
+        gateway._servers = [server]
+        gateway._serving = []
+        gateway._parts = mock.Mock()
+        gateway._parts.forwarder.close = mock.AsyncMock()
         ended_at = 0.0
 
         async def caller() -> None:
@@ -44,14 +44,14 @@
             while not server.should_exit:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.06)
-            found._front.open_count = 1
+            gateway._front.open_count = 1
             await asyncio.sleep(0.3)
             assert not server.force_exit
-            found._front.open_count = 0
+            gateway._front.open_count = 0
             ended_at = loop.time()
 
         calling = asyncio.create_task(caller())
-        await found.drain()
+        await gateway.drain()
         await calling
         return ended_at, loop.time()
 
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -179,10 +179,10 @@
 
     async def work() -> None:
         async with serve() as (bench, first, second, members, http):
-            unseen, late = bench.new_id(), bench.new_id(seconds=0.0)
+            unseen, expired = bench.new_id(), bench.new_id(seconds=0.0)
 
-            async def ask(place, name, verb, method="GET") -> dict[str, str]:
-                url = f"http://{place.address}/v1/requests/{name.text}/{verb}"
+            async def ask(instance, name, verb, method="GET") -> dict[str, str]:
+                url = f"http://{instance.address}/v1/requests/{name.text}/{verb}"
                 async with http.request(method, url, headers=AUTH) as response:
                     assert response.status == 200
                     return await response.json()
@@ -191,7 +191,7 @@
             outcome = await ask(second, unseen, "cancel", "POST")
             assert (outcome["outcome"], outcome["state"]) == ("not_run", "refused")
             assert await ask(first, unseen, "outcome") == outcome
-            outcome = await ask(first, late, "outcome")
+            outcome = await ask(first, expired, "outcome")
             assert outcome["outcome"] == "outcome_unknown"
             members.alive.clear()
             outcome = await ask(second, unseen, "outcome")
@@ -284,17 +284,17 @@
         async with serve() as (bench, first, second, members, http):
             finish = asyncio.Event()
 
-            async def late(answer) -> None:
+            async def finish_late(answer) -> None:
                 await finish.wait()
                 answer.append(b'{"text":"a"}')
 
             async def resume(self, server, key, answer) -> backends.TokenUsage:
                 answer.open()
-                await late(answer)
+                await finish_late(answer)
                 return backends.TokenUsage(1, 0, 1)
 
             monkeypatch.setattr(owner_fakes.FakeEngine, "resume", resume)
-            bench.servers.script = [late]
+            bench.servers.script = [finish_late]
             name = bench.new_id()
             path = f"/v1/requests/{name.text}"
             response_task = asyncio.create_task(
