--- a/packages/daemon/cassiaquay_daemon/gateway/connections.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/connections.py
@@ -11,7 +11,7 @@
 
 # Shorter than the servers' own keep-alive time: a server that closes a connection while
 # a request is being sent on it leaves the request's outcome unknown.
-IDLE_SECONDS = 4.0
+IDLE_TIMEOUT_SECONDS = 4.0
 # The kernel drops a connection whose data has not been acknowledged for this long;
 # otherwise a request to a crashed or unreachable server would hang until its deadline.
 TCP_USER_TIMEOUT_MS = 2500
@@ -36,14 +36,14 @@
 def create_session() -> aiohttp.ClientSession:
     """Return the session for proxied requests."""
     connector = aiohttp.TCPConnector(
-        limit=0, keepalive_timeout=IDLE_SECONDS, socket_factory=_create_socket
+        limit=0, keepalive_timeout=IDLE_TIMEOUT_SECONDS, socket_factory=_create_socket
     )
     # aiohttp has no public way to set the protocol class of a connector.
     factory: typing.Any = functools.partial(
         _ResetDetectingHandler, loop=connector._loop
     )
     connector._factory = factory
-    found = aiohttp.ClientSession(
+    session = aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
@@ -52,13 +52,13 @@
     )
     # By default aiohttp resends a GET when a kept-alive connection closes during it.
     # The server may have run it by then; only the gateway may decide on a retry.
-    found._retry_connection = False
-    return found
+    session._retry_connection = False
+    return session
 
 
 def _create_socket(info: aiohttp.connector.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = info
-    found = socket.socket(family=family, type=kind, proto=protocol)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    found.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
-    return found
+    created = socket.socket(family=family, type=kind, proto=protocol)
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+    return created
--- a/packages/daemon/cassiaquay_daemon/interface/relay.py
+++ b/packages/daemon/cassiaquay_daemon/interface/relay.py
@@ -13,7 +13,7 @@
 from ..owners import streams
 
 HOP_HEADER = "X-Cassiaquay-Hop"
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 POLL_SECONDS = 0.25
 PASSED_HEADERS = ("authorization", "content-type")
 
@@ -47,13 +47,13 @@
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
         """Forward status, type and body; omit the last chunk if the relay is cut."""
-        passing = asyncio.create_task(self._pass(send))
-        watching = asyncio.create_task(streams.disconnected(receive))
+        forwarding = asyncio.create_task(self._pass(send))
+        watching_caller = asyncio.create_task(streams.disconnected(receive))
         # A paused owner keeps its connections open and sends nothing, so the caller
         # would wait for the whole pause. When the relay is cut, the caller reconnects
         # and the stream is resumed from the engine.
         watching_owner = asyncio.create_task(_wait_until(self._is_gone))
-        tasks = {passing, watching, watching_owner}
+        tasks = {forwarding, watching_caller, watching_owner}
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -167,7 +167,9 @@
     ) -> aiohttp.ClientResponse:
         # The owner sends the status line of a queued request only when it starts, so
         # there is no read timeout; `forward` stops if the owner leaves the membership.
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
+        timeout = aiohttp.ClientTimeout(
+            total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
+        )
         try:
             return await self._http.request(
                 method, url, headers=headers, data=body or None, timeout=timeout
