--- a/packages/cli/cassiaquay_cli/burn.py
+++ b/packages/cli/cassiaquay_cli/burn.py
@@ -59,11 +59,11 @@
 
     async def work(client: clients.Client) -> outputs.Output:
         instances = await client.instances()
-        found = await client.collect("/v1/burn", bodies.Burn, instances)
-        report = burn_sums.report(found)
+        collected = await client.collect("/v1/burn", bodies.Burn, instances)
+        report = burn_sums.report(collected)
         if html:
             _write_file(str(html), burn_page.render(report))
-        code = outputs.EXIT_PARTIAL if found.missing else outputs.EXIT_COMPLETE
+        code = outputs.EXIT_PARTIAL if collected.missing else outputs.EXIT_COMPLETE
         if burn_sums.is_burning(report):
             code = outputs.EXIT_BURNING
         return outputs.Output(format_text(report), report, code)
--- a/packages/cli/cassiaquay_cli/check.py
+++ b/packages/cli/cassiaquay_cli/check.py
@@ -29,13 +29,13 @@
     json : bool
         Print JSON.
     """
-    found = files.read_fleet(str(file))
+    fleet = files.read_fleet(str(file))
     counts = ItemCounts(
-        services=len(found.services),
-        pools=len(found.pools),
-        servers=sum(len(pool.servers) for pool in found.pools.values()),
-        tiers=len(found.tiers),
-        teams=len(found.teams),
+        services=len(fleet.services),
+        pools=len(fleet.pools),
+        servers=sum(len(pool.servers) for pool in fleet.pools.values()),
+        tiers=len(fleet.tiers),
+        teams=len(fleet.teams),
     )
     text = (
         f"accepted: {counts['services']} services, {counts['pools']} pools,"
--- a/packages/cli/cassiaquay_cli/clients.py
+++ b/packages/cli/cassiaquay_cli/clients.py
@@ -90,7 +90,7 @@
             return msgspec.json.decode(body, type=body_type)
         except msgspec.DecodeError as error:
             raise exceptions.NotOperatorsAddress(
-                f"unexpected response body for {path} from {at or self.at}: {error}"
+                f"{at or self.at} sent an unexpected body for {path}: {error}"
             ) from error
 
     async def post(self, path: str, at: str) -> None:
--- a/packages/cli/cassiaquay_cli/diff.py
+++ b/packages/cli/cassiaquay_cli/diff.py
@@ -15,11 +15,11 @@
         Print JSON.
     """
     before, after = files.read_fleet(str(old)), files.read_fleet(str(new))
-    found = differences.compare(before, after)
+    changes = differences.compare(before, after)
     lines = []
-    for item in found:
+    for item in changes:
         left, right = item.before or "(none)", item.after or "(none)"
         lines.append(f"{item.place}: {left} -> {right}")
     text = "\n".join(lines) or "no difference"
-    data = [item._asdict() for item in found]
+    data = [item._asdict() for item in changes]
     return outputs.show(outputs.Output(text, data), json)
--- a/packages/cli/cassiaquay_cli/differences.py
+++ b/packages/cli/cassiaquay_cli/differences.py
@@ -29,13 +29,13 @@
     """Return the differences, sorted by path."""
     before = dict(_leaf_values((), msgspec.to_builtins(old)))
     after = dict(_leaf_values((), msgspec.to_builtins(new)))
-    found = []
+    differences = []
     for path in sorted(before.keys() | after.keys()):
         if before.get(path) == after.get(path):
             continue
         place = ".".join(path)
-        found.append(Difference(place, before.get(path, ""), after.get(path, "")))
-    return found
+        differences.append(Difference(place, before.get(path, ""), after.get(path, "")))
+    return differences
 
 
 def _leaf_values(path: Path, value: object) -> typing.Iterator[tuple[Path, str]]:
--- a/packages/cli/cassiaquay_cli/explain.py
+++ b/packages/cli/cassiaquay_cli/explain.py
@@ -10,19 +10,20 @@
 from . import clients, commands, outputs
 
 
-def format_text(found: bodies.Explanation) -> str:
+def format_text(explanation: bodies.Explanation) -> str:
     """Format an explanation as text."""
     lines = []
-    if found["id"]:
-        lines.append(f"request {found['id']}: {found['state']}")
-    lines.append(f"service {found['service']}, team {found['team']}")
-    lines.append(f"tier {found['tier']} (rank {found['rank']})")
+    if explanation["id"]:
+        lines.append(f"request {explanation['id']}: {explanation['state']}")
+    lines.append(f"service {explanation['service']}, team {explanation['team']}")
+    lines.append(f"tier {explanation['tier']} (rank {explanation['rank']})")
     lines.append(
-        f"deadline {found['deadline_ms']} ms, configuration {found['revision']}"
+        f"deadline {explanation['deadline_ms']} ms,"
+        f" configuration {explanation['revision']}"
     )
-    lines.append(f"shard {found['shard']}, kept by {found['keeper']}")
-    lines += [f"- {reason}" for reason in found["reasons"]]
-    placement = found["placement"]
+    lines.append(f"shard {explanation['shard']}, kept by {explanation['keeper']}")
+    lines += [f"- {reason}" for reason in explanation["reasons"]]
+    placement = explanation["placement"]
     if placement is None:
         return "\n".join(lines)
     if not placement["keeper_since_open"]:
@@ -85,7 +86,7 @@
     path = "/v1/explain?" + urllib.parse.urlencode(query)
 
     async def work(client: clients.Client) -> outputs.Output:
-        found = await client.get(path, bodies.Explanation)
-        return outputs.Output(format_text(found), found)
+        explanation = await client.get(path, bodies.Explanation)
+        return outputs.Output(format_text(explanation), explanation)
 
     return outputs.show(commands.run(at, work), json)
--- a/packages/cli/cassiaquay_cli/history.py
+++ b/packages/cli/cassiaquay_cli/history.py
@@ -64,15 +64,15 @@
 
     async def work(client: clients.Client) -> outputs.Output:
         instances = await client.instances()
-        found = await client.collect("/v1/history", list[bodies.Event], instances)
-        lines = merge(found, limit, alarms)
+        collected = await client.collect("/v1/history", list[bodies.Event], instances)
+        lines = merge(collected, limit, alarms)
         texts = [format_text(line) for line in lines] or ["no events"]
-        texts += clients.missing_lines(found.missing)
+        texts += clients.missing_lines(collected.missing)
         data = {
             "events": [{"instance": i, **event} for i, event in lines],
-            "missing": [item._asdict() for item in found.missing],
+            "missing": [item._asdict() for item in collected.missing],
         }
-        code = outputs.EXIT_PARTIAL if found.missing else outputs.EXIT_COMPLETE
+        code = outputs.EXIT_PARTIAL if collected.missing else outputs.EXIT_COMPLETE
         return outputs.Output("\n".join(texts), data, code)
 
     return outputs.show(commands.run(at, work), json)
--- a/packages/cli/cassiaquay_cli/log_lines.py
+++ b/packages/cli/cassiaquay_cli/log_lines.py
@@ -37,18 +37,18 @@
     Text before the first pair is skipped, as log collectors add prefixes.
     """
     start = text.find("{")
-    found = (
+    pairs = (
         _parse_json(text[start:]) if start >= 0 and "at=" not in text[:start] else None
     )
-    if found is None:
-        found = _parse_pairs(text)
-    if "at" not in found or "event" not in found:
+    if pairs is None:
+        pairs = _parse_pairs(text)
+    if "at" not in pairs or "event" not in pairs:
         return None
     try:
-        at = float(found.pop("at"))
+        at = float(pairs.pop("at"))
     except ValueError:
         return None
-    return Line(at, found.pop("instance", ""), found.pop("event"), found)
+    return Line(at, pairs.pop("instance", ""), pairs.pop("event"), pairs)
 
 
 def read(paths: typing.Iterable[str]) -> list[Line]:
@@ -69,16 +69,16 @@
 
 def _parse_json(text: str) -> dict[str, str] | None:
     try:
-        found = msgspec.json.decode(text)
+        pairs = msgspec.json.decode(text)
     except msgspec.DecodeError:
         return None
-    if not isinstance(found, dict):
+    if not isinstance(pairs, dict):
         return None
-    return {str(key): str(value) for key, value in found.items() if value is not None}
+    return {str(key): str(value) for key, value in pairs.items() if value is not None}
 
 
 def _parse_pairs(text: str) -> dict[str, str]:
-    found: dict[str, str] = {}
+    pairs: dict[str, str] = {}
     for key, value in _PAIR.findall(text):
         if value.startswith('"'):
             try:
@@ -86,5 +86,5 @@
             except msgspec.DecodeError:
                 # The string was truncated: keep the part that is there.
                 value = value[1:]
-        found.setdefault(key, value)
-    return found
+        pairs.setdefault(key, value)
+    return pairs
--- a/packages/cli/cassiaquay_cli/trace.py
+++ b/packages/cli/cassiaquay_cli/trace.py
@@ -129,16 +129,18 @@
     return Traced(_cause(request_lines), request_lines, circumstances)
 
 
-def format_text(found: Traced) -> str:
+def format_text(traced: Traced) -> str:
     """Format a traced request as text."""
-    if not found.lines:
-        return found.cause
-    start_at = found.lines[0].at
-    parts = [f"cause: {found.cause}", ""]
-    parts.append(outputs.table(["ms", "instance", "event", ""], _rows(found, start_at)))
-    if found.circumstances:
+    if not traced.lines:
+        return traced.cause
+    start_at = traced.lines[0].at
+    parts = [f"cause: {traced.cause}", ""]
+    parts.append(
+        outputs.table(["ms", "instance", "event", ""], _rows(traced, start_at))
+    )
+    if traced.circumstances:
         parts += ["", "learned there shortly before:"]
-        shown = found._replace(lines=found.circumstances)
+        shown = traced._replace(lines=traced.circumstances)
         parts.append(
             outputs.table(["ms", "instance", "event", ""], _rows(shown, start_at))
         )
@@ -158,8 +160,8 @@
     json : bool
         Print JSON.
     """
-    found = trace(str(id), log_lines.read(files))
-    return outputs.show(outputs.Output(format_text(found), found), json)
+    traced = trace(str(id), log_lines.read(files))
+    return outputs.show(outputs.Output(format_text(traced), traced), json)
 
 
 def _last_line(request_lines: Lines, event: str) -> log_lines.Line | None:
@@ -170,9 +172,9 @@
     return None
 
 
-def _is_same_request(found: str, wanted: str) -> bool:
+def _is_same_request(logged_id: str, request_id: str) -> bool:
     # Repeated dispatches of a request append a dot and a number to its id.
-    return found == wanted or found.startswith(f"{wanted}.")
+    return logged_id == request_id or logged_id.startswith(f"{request_id}.")
 
 
 def _cause(request_lines: Lines) -> str:
@@ -185,9 +187,9 @@
     return f"it ended with {code or end.event}; see docs/ERRORS.md for this code"
 
 
-def _rows(found: Traced, start_at: float) -> list[list[str]]:
+def _rows(traced: Traced, start_at: float) -> list[list[str]]:
     rows = []
-    for line in found.lines:
+    for line in traced.lines:
         hidden = ("level", "id")
         pairs = [f"{k}={v}" for k, v in line.fields.items() if k not in hidden]
         elapsed_ms = f"{(line.at - start_at) * 1000.0:.1f}"
--- a/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
@@ -55,10 +55,10 @@
 
     def __init__(self, http: aiohttp.ClientSession): ...
 
-    async def events(self, server: fleet.Server, after: int) -> CacheEvents:
+    async def read_events(self, server: fleet.Server, after: int) -> CacheEvents:
         """Return the cache events after a sequence number."""
 
-    async def load(self, server: fleet.Server) -> LoadReport:
+    async def read_load(self, server: fleet.Server) -> LoadReport:
         """Return the latest load report."""
 
 
@@ -72,7 +72,7 @@
     def __init__(self, http: aiohttp.ClientSession):
         self._http = http
 
-    async def events(self, server: fleet.Server, after: int) -> CacheEvents:
+    async def read_events(self, server: fleet.Server, after: int) -> CacheEvents:
         """Return the cache events after a sequence number."""
         body = await self._get(server, f"/v1/kv/events?after={after}")
         try:
@@ -80,7 +80,7 @@
         except msgspec.DecodeError as error:
             raise exceptions.BackendError(str(error)) from error
 
-    async def load(self, server: fleet.Server) -> LoadReport:
+    async def read_load(self, server: fleet.Server) -> LoadReport:
         """Return the latest load report."""
         body = await self._get(server, "/v1/load")
         try:
@@ -141,23 +141,23 @@
         if reader is None:
             return
         reads = [
-            self.read_one(shard, reader, server) for server in shard.open_servers()
+            self.read_engine(shard, reader, server) for server in shard.open_servers()
         ]
         await asyncio.gather(*reads)
 
-    async def read_one(
+    async def read_engine(
         self, shard: shards.Shard, reader: Reader, server: fleet.Server
     ) -> None:
         """Apply one engine's load report and cache events to its shard's state."""
         try:
-            report = await reader.load(server)
+            report = await reader.read_load(server)
             requests = report.running + report.waiting
             shard.load(server.name).report(requests, report.age_ms / 1000, clock.now())
             policy = self._keeper.policy(shard.name)
             if not isinstance(policy, policies.Caching):
                 return
             after = self._sequences.get(server.name, 0)
-            found = await reader.events(server, after)
+            found = await reader.read_events(server, after)
         except exceptions.BackendError:
             # The keeper's own counts stay in use until the next report.
             return
--- a/packages/daemon/cassiaquay_daemon/engines/orders.py
+++ b/packages/daemon/cassiaquay_daemon/engines/orders.py
@@ -64,24 +64,26 @@
     name: str
     desired: Desired
     actual: Actual | None
-    ordered: bool
+    is_load_ordered: bool
 
     @property
-    def has_model(self) -> bool:
+    def has_desired_model(self) -> bool:
         """Whether the engine serves the desired model, in any version."""
         return self.actual is not None and self.actual.model == self.desired.model
 
     @property
-    def has_version(self) -> bool:
+    def has_desired_version(self) -> bool:
         """Whether the engine serves the desired model in the desired version."""
-        if self.actual is None or not self.has_model:
+        if self.actual is None or not self.has_desired_model:
             return False
         return self.actual.version == self.desired.version
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether the engine serves its model now and is not about to reload it."""
-        return self.has_model and (self.has_version or not self.ordered)
+        return self.has_desired_model and (
+            self.has_desired_version or not self.is_load_ordered
+        )
 
 
 def desired(snapshot: snapshots.Snapshot, server: fleet.Server) -> Desired:
@@ -114,17 +116,25 @@
     at_once : int
         Number of concurrent loads that the weight store can sustain.
     """
-    serving = sum(1 for engine in engines if engine.serves)
-    loading = sum(1 for engine in engines if engine.ordered and not engine.has_version)
+    serving = sum(1 for engine in engines if engine.is_serving)
+    loading = sum(
+        1
+        for engine in engines
+        if engine.is_load_ordered and not engine.has_desired_version
+    )
     remaining_loads = at_once - loading
     spare_engines = serving - minimum
     names = []
     for engine in sorted(engines, key=_load_priority):
         if remaining_loads <= 0:
             break
-        if engine.actual is None or engine.has_version or engine.ordered:
+        if (
+            engine.actual is None
+            or engine.has_desired_version
+            or engine.is_load_ordered
+        ):
             continue
-        if engine.serves:
+        if engine.is_serving:
             if spare_engines <= 0:
                 continue
             spare_engines -= 1
@@ -147,4 +157,4 @@
 
 def _load_priority(engine: Engine) -> tuple[bool, str]:
     # Engines that do not serve the model come first: loading them costs no capacity.
-    return engine.serves, engine.name
+    return engine.is_serving, engine.name
--- a/packages/daemon/cassiaquay_daemon/engines/reconciler.py
+++ b/packages/daemon/cassiaquay_daemon/engines/reconciler.py
@@ -145,7 +145,9 @@
         limits = self._settings.orders
         minimum = snapshot.fleet.models[model].serving_minimum
         may_load = orders.may_load(engines, minimum, limits.loads_at_once)
-        if not may_load and any(e.serves and not e.has_version for e in engines):
+        if not may_load and any(
+            e.is_serving and not e.has_desired_version for e in engines
+        ):
             logs.detail("loads_wait", model=model, minimum=minimum)
         by_name = {engine.name: engine for engine in engines}
         for target in own:
@@ -159,14 +161,14 @@
         wanted: orders.Desired,
         actual: orders.Actual | None,
     ) -> orders.Engine:
-        ordered = False
+        is_load_ordered = False
         if actual is not None and _needs_load(wanted, actual):
             sent = self._sent.get(name)
             remembered = sent is not None and sent.order.version == wanted.version
             # An engine with this fence has accepted an order of this configuration,
             # possibly from another keeper.
-            ordered = remembered or actual.fence >= orders.fence(snapshot)
-        return orders.Engine(name, wanted, actual, ordered)
+            is_load_ordered = remembered or actual.fence >= orders.fence(snapshot)
+        return orders.Engine(name, wanted, actual, is_load_ordered)
 
     async def _advance(
         self,
@@ -178,7 +180,7 @@
         name = engine.name
         if engine.actual is None:
             return
-        if engine.has_version:
+        if engine.has_desired_version:
             self._sent.pop(name, None)
             self._draining_since.pop(name, None)
             self._keeper.draining.discard(name)
@@ -188,13 +190,13 @@
             if order is not None:
                 await self._send(snapshot, target, order)
             return
-        if not engine.has_model or engine.ordered:
+        if not engine.has_desired_model or engine.is_load_ordered:
             self._keeper.draining.add(name)
-        if engine.ordered:
+        if engine.is_load_ordered:
             await self._repeat_if_due(snapshot, target, engine)
             return
         if not may_load:
-            if engine.has_model:
+            if engine.has_desired_model:
                 # Another engine failed during the drain, so this one keeps serving.
                 self._draining_since.pop(name, None)
                 self._keeper.draining.discard(name)
--- a/packages/daemon/cassiaquay_daemon/operators/explain.py
+++ b/packages/daemon/cassiaquay_daemon/operators/explain.py
@@ -248,27 +248,30 @@
 
 
 def _limit_reasons(snapshot: snapshots.Snapshot, service: str, team: str) -> list[str]:
-    found = []
+    reasons = []
     limited_items = (
         ("team", team, snapshot.fleet.teams[team]),
         ("service", service, snapshot.fleet.services[service]),
     )
     for kind, name, limited in limited_items:
         if limited.requests_per_second is not None:
-            found.append(f"{kind} {name}: {limited.requests_per_second:g} requests/s")
+            reasons.append(f"{kind} {name}: {limited.requests_per_second:g} requests/s")
         if limited.concurrent is not None:
-            found.append(f"{kind} {name}: {limited.concurrent} running at a time")
-    return found or ["no limit of the team or service applies"]
+            reasons.append(f"{kind} {name}: {limited.concurrent} running at a time")
+    return reasons or ["no limit of the team or service applies"]
 
 
 def _progress_reasons(entry: owner.Entry) -> list[str]:
-    found = [f"accepted {clock.now() - entry.accepted_at:.3f} s ago"]
+    reasons = [f"accepted {clock.now() - entry.accepted_at:.3f} s ago"]
     if entry.server:
-        found.append(f"dispatched to {entry.server}")
+        reasons.append(f"dispatched to {entry.server}")
     if entry.refusal is not None:
-        found.append(f"{entry.refusal.code}: {entry.refusal.message}")
+        reasons.append(f"{entry.refusal.code}: {entry.refusal.message}")
     elif entry.ended:
-        found = [f"completed in {entry.ended_at - entry.accepted_at:.3f} s", *found[1:]]
+        reasons = [
+            f"completed in {entry.ended_at - entry.accepted_at:.3f} s",
+            *reasons[1:],
+        ]
     elif not entry.server:
-        found.append("waits for a permit from its keeper")
-    return found
+        reasons.append("waits for a permit from its keeper")
+    return reasons
--- a/packages/daemon/cassiaquay_daemon/operators/history.py
+++ b/packages/daemon/cassiaquay_daemon/operators/history.py
@@ -86,14 +86,14 @@
 
     def recent(self, limit: int, team: str = "") -> list[Event]:
         """Return the last events, newest first; only those of ``team`` when given."""
-        found: list[Event] = []
+        events: list[Event] = []
         for event in reversed(self._events):
-            if len(found) >= limit:
+            if len(events) >= limit:
                 break
             if team and event["team"] != team:
                 continue
-            found.append(event)
-        return found
+            events.append(event)
+        return events
 
 
 def _encodable(value: object) -> Field:
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -98,7 +98,7 @@
         first_seconds = 0.0
         if entry.answer.first_at:
             first_seconds = entry.answer.first_at - entry.accepted_at
-        found = Finished(
+        finished = Finished(
             accepted.service,
             accepted.tier,
             accepted.team,
@@ -111,9 +111,9 @@
             entry.figures.prompt_tokens,
             entry.figures.output_tokens,
         )
-        self._count(found)
-        self._burn(found, found.seconds)
-        if found.outcome == "completed":
+        self._count(finished)
+        self._burn(finished, finished.seconds)
+        if finished.outcome == "completed":
             cached = entry.figures.cached_tokens
             self.metrics.count(metrics.CACHED_TOKENS, (accepted.service,), cached)
             return
@@ -122,48 +122,48 @@
             id=accepted.id.text,
             service=accepted.service,
             tier=accepted.tier,
-            outcome=found.outcome,
-            code=found.code,
+            outcome=finished.outcome,
+            code=finished.code,
             message=final["message"],
             server=entry.server,
         )
 
-    def record_gateway_request(self, found: Finished) -> None:
+    def record_gateway_request(self, finished: Finished) -> None:
         """Record an ended request of the gateway."""
-        self._count(found)
+        self._count(finished)
         # Gateway objectives apply to the first event; answers that are not streamed
         # have only an end.
-        self._burn(found, found.first_seconds or found.seconds)
+        self._burn(finished, finished.first_seconds or finished.seconds)
 
-    def _count(self, found: Finished) -> None:
+    def _count(self, finished: Finished) -> None:
         """Add an ended request to the metrics."""
-        key = (found.service, found.tier)
+        key = (finished.service, finished.tier)
         count = self.metrics.count
-        count(metrics.REQUESTS, (*key, found.outcome, found.code))
-        self._teams.add(found.team)
-        team = self._teams.label(found.team)
-        count(metrics.TEAM_REQUESTS, (team, found.outcome))
-        if found.first_seconds:
-            self.metrics.observe(metrics.FIRST_EVENT, key, found.first_seconds)
-        if found.outcome == "completed":
-            self.metrics.observe(metrics.REQUEST_DURATION, key, found.seconds)
-            service = (found.service,)
-            count(metrics.PROMPT_TOKENS, service, found.prompt_tokens)
-            count(metrics.OUTPUT_TOKENS, service, found.output_tokens)
+        count(metrics.REQUESTS, (*key, finished.outcome, finished.code))
+        self._teams.add(finished.team)
+        team = self._teams.label(finished.team)
+        count(metrics.TEAM_REQUESTS, (team, finished.outcome))
+        if finished.first_seconds:
+            self.metrics.observe(metrics.FIRST_EVENT, key, finished.first_seconds)
+        if finished.outcome == "completed":
+            self.metrics.observe(metrics.REQUEST_DURATION, key, finished.seconds)
+            service = (finished.service,)
+            count(metrics.PROMPT_TOKENS, service, finished.prompt_tokens)
+            count(metrics.OUTPUT_TOKENS, service, finished.output_tokens)
 
-    def _burn(self, found: Finished, seconds: float) -> None:
+    def _burn(self, finished: Finished, seconds: float) -> None:
         """Add an ended request to the burn of its objective."""
         self.burn.add(
             clock.now(),
             burn.Ended(
-                found.service,
-                found.tier,
-                found.team,
-                found.server,
-                found.outcome,
-                found.code,
+                finished.service,
+                finished.tier,
+                finished.team,
+                finished.server,
+                finished.outcome,
+                finished.code,
                 seconds,
-                found.within_seconds,
+                finished.within_seconds,
             ),
         )
 
@@ -263,14 +263,14 @@
             sent += link.sent_bytes
             received += link.received_bytes
         recovering = self._parts.recovering
-        found: dict[metrics.Key, float] = {}
-        found[("found",)] = recovering.recovered
-        found[("missing",)] = recovering.not_found
+        recoveries: dict[metrics.Key, float] = {}
+        recoveries[("found",)] = recovering.recovered
+        recoveries[("missing",)] = recovering.not_found
         replace = self.metrics.replace
         replace(metrics.PEER_SENT, {(): sent})
         replace(metrics.PEER_RECEIVED, {(): received})
         replace(metrics.RELAYED, {(): self._parts.passing.passed})
-        replace(metrics.RECOVERIES, found)
+        replace(metrics.RECOVERIES, recoveries)
         alarms = self.history.alarms
         replace(metrics.ALARMS, {(name,): n for name, n in alarms.items()})
 
--- a/tests/test_engine_reports.py
+++ b/tests/test_engine_reports.py
@@ -22,12 +22,12 @@
         self.requested_sequences: list[int] = []
         self.is_silent = False
 
-    async def load(self, server) -> engine_reports.LoadReport:
+    async def read_load(self, server) -> engine_reports.LoadReport:
         if self.is_silent:
             raise exceptions.BackendError("silent")
         return engine_reports.LoadReport(200.0, self.requests, 0)
 
-    async def events(self, server, after) -> engine_reports.CacheEvents:
+    async def read_events(self, server, after) -> engine_reports.CacheEvents:
         self.requested_sequences.append(after)
         return self.cache_events
 
@@ -66,13 +66,13 @@
         events = [_event(1, "stored", demand.blocks), _event(3, "removed", [1])]
         reader.cache_events = engine_reports.CacheEvents(3, events)
         server = shard.servers["tutor-4"]
-        await reports.read_one(shard, reader, server)
+        await reports.read_engine(shard, reader, server)
         cached = {w.server: w.cached_tokens for w in _explained(kept, demand)}
         assert cached.pop("tutor-4") > 1500
         assert set(cached.values()) == {0}
         reader.cache_events = engine_reports.CacheEvents(1, [])
-        await reports.read_one(shard, reader, server)
-        await reports.read_one(shard, reader, server)
+        await reports.read_engine(shard, reader, server)
+        await reports.read_engine(shard, reader, server)
         assert reader.requested_sequences == [0, 3, 0]
         assert {w.cached_tokens for w in _explained(kept, demand)} == {0}
 
@@ -96,7 +96,7 @@
         shard = kept.shards[fakes.SHARD]
         reader = FakeReader()
         reader.requests = 40
-        await reports.read_one(shard, reader, shard.servers["tutor-1"])
+        await reports.read_engine(shard, reader, shard.servers["tutor-1"])
         load = shard.load("tutor-1")
         assert load.foreign(time.now) >= 32
         fits = {w.server: w.fits for w in _explained(kept, fakes.demand("one"))}
@@ -104,7 +104,7 @@
         assert all(fits.values())
         reader.is_silent = True
         time.now += 3.0
-        await reports.read_one(shard, reader, shard.servers["tutor-1"])
+        await reports.read_engine(shard, reader, shard.servers["tutor-1"])
         assert load.foreign(time.now) < 8
 
     asyncio.run(check())
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -244,7 +244,7 @@
 
 ENGINES = strategies.lists(
     strategies.builds(
-        lambda version, ordered, silent: (version, ordered, silent),
+        lambda version, is_load_ordered, silent: (version, is_load_ordered, silent),
         strategies.sampled_from(["1", "2"]),
         strategies.booleans(),
         strategies.booleans(),
@@ -258,12 +258,12 @@
     states: list[tuple[str, bool, bool]], minimum: int, at_once: int
 ) -> None:
     engines = []
-    for index, (version, ordered, silent) in enumerate(states):
+    for index, (version, is_load_ordered, silent) in enumerate(states):
         actual = None if silent else ACTUAL._replace(version=version)
-        engines.append(orders.Engine(f"e{index}", WANTED, actual, ordered))
+        engines.append(orders.Engine(f"e{index}", WANTED, actual, is_load_ordered))
     names = orders.may_load(engines, minimum, at_once)
     assert names == orders.may_load(engines[::-1], minimum, at_once)
-    serving = {engine.name for engine in engines if engine.serves}
-    loading = [e for e in engines if e.ordered and not e.has_version]
+    serving = {engine.name for engine in engines if engine.is_serving}
+    loading = [e for e in engines if e.is_load_ordered and not e.has_desired_version]
     assert not names or len(loading) + len(names) <= at_once
     assert not serving & set(names) or len(serving - set(names)) >= minimum
