--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -228,7 +228,7 @@
             ).run(),
             self._limits.renew(),
             self._dependencies.ask(),
-            self._engine_reports.read(),
+            self._engine_reports.poll(),
             self._owner.sweep(),
         ]
 
--- a/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
@@ -124,7 +124,7 @@
         for name in readers.names():
             self._readers[name] = readers.get(name)(http)
 
-    async def read(self) -> None:
+    async def poll(self) -> None:
         """Poll all engines every ``PERIOD_SECONDS`` until cancelled."""
         while True:
             await asyncio.sleep(PERIOD_SECONDS)
