--- a/packages/daemon/cassiaquay_daemon/operators/history.py
+++ b/packages/daemon/cassiaquay_daemon/operators/history.py
@@ -72,7 +72,7 @@
             Event(at=record.created, name=name, alarm=alarm, team=team, fields=fields)
         )
 
-    def refused(self, team: str, **fields: Field) -> None:
+    def add_refusal(self, team: str, **fields: Field) -> None:
         """Retain a refusal with its reason."""
         self._events.append(
             Event(
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -117,7 +117,7 @@
             cached = entry.figures.cached_tokens
             self.metrics.count(metrics.CACHED_TOKENS, (accepted.service,), cached)
             return
-        self.history.refused(
+        self.history.add_refusal(
             accepted.team,
             id=accepted.id.text,
             service=accepted.service,
@@ -174,7 +174,7 @@
     def refused(self, refusal: exceptions.Refusal, request_id: str, team: str) -> None:
         """Record the refusal of a call for which the owner holds no entry."""
         self.metrics.count(metrics.REFUSALS, (refusal.code,))
-        self.history.refused(
+        self.history.add_refusal(
             team,
             id=request_id,
             outcome=refusal.outcome,
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -213,7 +213,7 @@
 def test_history_is_bounded() -> None:
     async def test(instance: fakes.Instance) -> None:
         for number in range(9):
-            instance.reports.history.refused("", number=number)
+            instance.reports.history.add_refusal("", number=number)
         events = (await instance.call("/v1/history")).json
         assert [event["fields"]["number"] for event in events] == [8, 7, 6]
 
