--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -147,7 +147,7 @@
             parts.recovering,
             self._pauses,
         )
-        callers.on_refused(noted.refused)
+        callers.on_refused(noted.record_refusal)
         operators = admin.Admin(
             settings,
             self._incarnation,
@@ -161,7 +161,7 @@
         if self._gateway is not None:
             self._membership.http_address = settings.gateway.front
             self._gateway.accounting.on_ended(noted.record_gateway_request)
-            self._gateway.accounting.on_refused(noted.refused)
+            self._gateway.accounting.on_refused(noted.record_refusal)
             self._gateway.start()
         else:
             bound.append(self._listen(callers.application(), settings.http_port))
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -171,7 +171,7 @@
         """Count prompt tokens that an engine processed for a request then stopped."""
         self.metrics.count(metrics.WASTED_TOKENS, (), prompt_tokens)
 
-    def refused(self, refusal: exceptions.Refusal, request_id: str, team: str) -> None:
+    def record_refusal(self, refusal: exceptions.Refusal, request_id: str, team: str) -> None:
         """Record the refusal of a call for which the owner holds no entry."""
         self.metrics.count(metrics.REFUSALS, (refusal.code,))
         self.history.add_refusal(
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -171,7 +171,7 @@
         for number, team in enumerate([LARGE, SMALL]):
             entry = instance.entry(team.name, unique=f"u{number}")
             instance.owned._refuse(entry, exceptions.Shed("engines are full"))
-        instance.reports.refused(exceptions.BadId(), "nonsense", "")
+        instance.reports.record_refusal(exceptions.BadId(), "nonsense", "")
         everything = (await instance.call("/v1/history", fakes.OPERATOR)).json
         own = (await instance.call("/v1/history", SMALL.credential)).json
         refused = [event for event in everything if event["name"] == "refused"]
