--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -86,10 +86,10 @@
         self._parts = parts
         self._teams = top_counts.TopCounts(report_settings.heaviest_teams)
         logs.also(self.history)
-        parts.owned.on_ended(self.ended)
-        parts.owned.on_wasted(self.wasted)
+        parts.owned.on_ended(self.record_ended_request)
+        parts.owned.on_wasted(self.record_wasted_tokens)
 
-    def ended(self, entry: owner.Entry) -> None:
+    def record_ended_request(self, entry: owner.Entry) -> None:
         """Record an ended request of this owner, once its outcome is final."""
         accepted = entry.accepted
         final = entry.answer.final
@@ -167,11 +167,13 @@
             ),
         )
 
-    def wasted(self, prompt_tokens: int) -> None:
+    def record_wasted_tokens(self, prompt_tokens: int) -> None:
         """Count prompt tokens that an engine processed for a request then stopped."""
         self.metrics.count(metrics.WASTED_TOKENS, (), prompt_tokens)
 
-    def record_refusal(self, refusal: exceptions.Refusal, request_id: str, team: str) -> None:
+    def record_refusal(
+        self, refusal: exceptions.Refusal, request_id: str, team: str
+    ) -> None:
         """Record the refusal of a call for which the owner holds no entry."""
         self.metrics.count(metrics.REFUSALS, (refusal.code,))
         self.history.add_refusal(
