--- a/packages/daemon/cassiaquay_daemon/engines/orders.py
+++ b/packages/daemon/cassiaquay_daemon/engines/orders.py
@@ -57,7 +57,7 @@
         By the configuration.
     actual : Actual or None
         As the engine reported it; None when it did not respond.
-    ordered : bool
+    is_load_ordered : bool
         Whether a load has been ordered and the engine does not yet report its result.
     """
 
