--- a/packages/cli/cassiaquay_cli/clients.py
+++ b/packages/cli/cassiaquay_cli/clients.py
@@ -13,7 +13,7 @@
 
 ADDRESS_VARIABLE = "CASSIAQUAY_ADMIN"
 CREDENTIAL_VARIABLE = "CASSIAQUAY_CREDENTIAL"
-CALL_SECONDS = 5.0
+CALL_TIMEOUT_SECONDS = 5.0
 
 Body = typing.TypeVar("Body")
 
@@ -113,8 +113,8 @@
                 reason = "listed by the platform, but no heartbeat of it is heard"
                 missing.append(Missing(item["instance"], reason))
         calls = [self.get(path, body_type, item["admin"]) for item in reachable]
-        found = await asyncio.gather(*calls, return_exceptions=True)
-        for item, answer in zip(reachable, found, strict=True):
+        results = await asyncio.gather(*calls, return_exceptions=True)
+        for item, answer in zip(reachable, results, strict=True):
             if isinstance(answer, exceptions.NotAllowed):
                 raise answer
             if isinstance(answer, exceptions.CommandError):
@@ -129,7 +129,7 @@
         headers = {}
         if self._credential:
             headers["Authorization"] = f"Bearer {self._credential}"
-        timeout = aiohttp.ClientTimeout(total=CALL_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_SECONDS)
         request = self._http.request(
             method, f"http://{at}{path}", headers=headers, timeout=timeout
         )
@@ -177,5 +177,5 @@
     if isinstance(error, aiohttp.ClientConnectorError):
         return error.os_error.strerror or str(error)
     if isinstance(error, TimeoutError):
-        return f"no answer within {CALL_SECONDS:.0f} s"
+        return f"no answer within {CALL_TIMEOUT_SECONDS:.0f} s"
     return str(error) or type(error).__name__
--- a/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
+++ b/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
@@ -1,6 +1,6 @@
 """Explains where a shard's keeper would place a demand.
 
-The keeper admits requests to a shard; a demand is a request's wish to be admitted.
+The keeper admits requests to a shard; a demand is an owner's application for that.
 """
 
 from cassiaquay_schema import bodies, messages
--- a/packages/daemon/cassiaquay_daemon/operators/reports.py
+++ b/packages/daemon/cassiaquay_daemon/operators/reports.py
@@ -111,8 +111,8 @@
             entry.figures.prompt_tokens,
             entry.figures.output_tokens,
         )
-        self._count(finished)
-        self._burn(finished, finished.seconds)
+        self._count_metrics(finished)
+        self._count_burn(finished, finished.seconds)
         if finished.outcome == "completed":
             cached = entry.figures.cached_tokens
             self.metrics.count(metrics.CACHED_TOKENS, (accepted.service,), cached)
@@ -130,12 +130,12 @@
 
     def record_gateway_request(self, finished: Finished) -> None:
         """Record an ended request of the gateway."""
-        self._count(finished)
+        self._count_metrics(finished)
         # Gateway objectives apply to the first event; answers that are not streamed
         # have only an end.
-        self._burn(finished, finished.first_seconds or finished.seconds)
+        self._count_burn(finished, finished.first_seconds or finished.seconds)
 
-    def _count(self, finished: Finished) -> None:
+    def _count_metrics(self, finished: Finished) -> None:
         """Add an ended request to the metrics."""
         key = (finished.service, finished.tier)
         count = self.metrics.count
@@ -151,7 +151,7 @@
             count(metrics.PROMPT_TOKENS, service, finished.prompt_tokens)
             count(metrics.OUTPUT_TOKENS, service, finished.output_tokens)
 
-    def _burn(self, finished: Finished, seconds: float) -> None:
+    def _count_burn(self, finished: Finished, seconds: float) -> None:
         """Add an ended request to the burn of its objective."""
         self.burn.add(
             clock.now(),
@@ -216,7 +216,7 @@
         for name, shard in self._parts.kept.shards.items():
             running[(name,)] = len(shard.running)
             for waiting in shard.queue.values():
-                key = (name, self._tier(waiting.demand))
+                key = (name, self._tier_name(waiting.demand))
                 queued[key] = queued.get(key, 0) + 1
             for server in shard.servers:
                 tokens.setdefault((server,), 0)
@@ -239,7 +239,7 @@
         evacuated = len(snapshot.fleet.evacuated) if snapshot is not None else 0
         self.metrics.replace(metrics.EVACUATED, {(): evacuated})
 
-    def _tier(self, demand: messages.Demand) -> str:
+    def _tier_name(self, demand: messages.Demand) -> str:
         snapshot = self._parts.configured.current
         if snapshot is not None:
             for name, tier in snapshot.fleet.tiers.items():
