--- a/packages/cli/cassiaquay_cli/status.py
+++ b/packages/cli/cassiaquay_cli/status.py
@@ -25,8 +25,8 @@
     servers = await client.collect("/v1/servers", list[bodies.Server], instances)
     queues = await client.collect("/v1/queues", bodies.Queues, instances)
     lines = []
-    for found in servers.answers.values():
-        lines.extend(found)
+    for collected in servers.answers.values():
+        lines.extend(collected)
     lines.sort(key=lambda line: (line["shard"], line["server"]))
     return Fleet(
         instances,
@@ -39,18 +39,18 @@
 
 def all_waiting(answers: dict[str, bodies.Queues]) -> list[bodies.Group]:
     """Return the waiting requests at all keepers; with a team's credential, its own."""
-    found: list[bodies.Group] = []
+    collected: list[bodies.Group] = []
     for answer in answers.values():
-        found.extend(answer["waiting"])
-    return found
+        collected.extend(answer["waiting"])
+    return collected
 
 
 def shedding_shards(answers: dict[str, bodies.Queues]) -> list[bodies.Running]:
     """Return the shards that currently shed a tier."""
-    found: list[bodies.Running] = []
+    collected: list[bodies.Running] = []
     for answer in answers.values():
-        found.extend(item for item in answer["running"] if item["shedding"])
-    return found
+        collected.extend(item for item in answer["running"] if item["shedding"])
+    return collected
 
 
 async def team_output(client: clients.Client) -> outputs.Output:
--- a/packages/daemon/cassiaquay_daemon/operators/admin.py
+++ b/packages/daemon/cassiaquay_daemon/operators/admin.py
@@ -19,8 +19,10 @@
 MAX_HISTORY = 1000
 DEFAULT_HISTORY = 100
 
-Answer = collections.abc.Awaitable[responses.Response]
-Endpoint = collections.abc.Callable[[requests.Request, viewers.Viewer], Answer]
+ResponseAwaitable = collections.abc.Awaitable[responses.Response]
+Endpoint = collections.abc.Callable[
+    [requests.Request, viewers.Viewer], ResponseAwaitable
+]
 
 
 class Admin:
@@ -34,7 +36,7 @@
         Identifies this start of the process.
     parts : Parts
         Components of the daemon whose state is shown.
-    noted : Reports
+    recorded : Reports
         Metrics, history and error-budget burn.
     http : ClientSession
         Connections to other instances.
@@ -54,7 +56,7 @@
         self._settings = settings
         self._incarnation = incarnation
         self._parts = parts
-        self._recorded = recorded
+        self._reports = recorded
         self._viewers = viewers.Viewers(settings, parts.configured)
         self._explainer = explain.Explainer(settings, parts, http)
         self._drain = drain
@@ -85,7 +87,7 @@
 
     def _handler(
         self, endpoint: Endpoint
-    ) -> collections.abc.Callable[[requests.Request], Answer]:
+    ) -> collections.abc.Callable[[requests.Request], ResponseAwaitable]:
         async def handle(request: requests.Request) -> responses.Response:
             try:
                 return await endpoint(request, self._viewers.authenticate(request))
@@ -118,13 +120,13 @@
             "incarnation": self._incarnation,
             "domain": self._settings.domain,
             "region": self._settings.region,
-            "since": self._recorded.since,
+            "since": self._reports.since,
             "leaving": parts.membership.leaving,
             "revision": parts.configured.revision,
             "rejected": parts.configured.rejected,
             "members": [member.instance for member in parts.membership.serving()],
             "open": parts.owned.open_count,
-            "ended": self._recorded.metrics.total(metrics.REQUESTS, 2),
+            "ended": self._reports.metrics.total(metrics.REQUESTS, 2),
             "shards": {
                 name: {"queue": len(shard.queue), "running": len(shard.running)}
                 for name, shard in parts.kept.shards.items()
@@ -168,12 +170,12 @@
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
         limit = _number(request, "limit", DEFAULT_HISTORY, MAX_HISTORY)
-        return _json(self._recorded.history.recent(limit, viewer.team))
+        return _json(self._reports.history.recent(limit, viewer.team))
 
     async def _burn(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        found = self._recorded.burn.report(clock.now())
+        found = self._reports.burn.report(clock.now())
         if viewer.team:
             found = _restrict_to_team(found, viewer.team)
         snapshot = self._parts.configured.current
@@ -192,7 +194,7 @@
         body = {
             "instance": self._settings.instance,
             "incarnation": self._incarnation,
-            "since": self._recorded.since,
+            "since": self._reports.since,
             "revision": self._parts.configured.revision,
             "objectives": objectives,
             "report": found,
@@ -250,7 +252,7 @@
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
         viewer.require_operator()
-        body, headers = self._recorded.page(request.headers.getlist("accept"))
+        body, headers = self._reports.page(request.headers.getlist("accept"))
         return responses.Response(body, headers=headers)
 
     async def _begin_drain(
--- a/packages/daemon/cassiaquay_daemon/operators/metrics.py
+++ b/packages/daemon/cassiaquay_daemon/operators/metrics.py
@@ -272,10 +272,10 @@
 
     def total(self, family: Family, position: int) -> dict[str, int]:
         """Return a counter's sums by the label at ``position``."""
-        found: dict[str, int] = {}
+        sums: dict[str, int] = {}
         for key, value in self._counts[family.name].items():
-            found[key[position]] = found.get(key[position], 0) + value
-        return found
+            sums[key[position]] = sums.get(key[position], 0) + value
+        return sums
 
     def replace(self, family: Family, values: dict[Key, float]) -> None:
         """Replace all values of a gauge, or of a counter maintained elsewhere."""
--- a/packages/daemon/cassiaquay_daemon/operators/viewers.py
+++ b/packages/daemon/cassiaquay_daemon/operators/viewers.py
@@ -75,8 +75,8 @@
 
     def _by_credential(self, credential: str) -> Viewer:
         digest = hashlib.sha256(credential.encode()).hexdigest()
-        for known in self._settings.operators:
-            if hmac.compare_digest(known, digest):
+        for operator_digest in self._settings.operators:
+            if hmac.compare_digest(operator_digest, digest):
                 return Viewer("")
         snapshot = self._configured.current
         team = snapshot.team_of(credential) if snapshot is not None else None
--- a/tests/operators_fakes.py
+++ b/tests/operators_fakes.py
@@ -66,12 +66,12 @@
             chosen, "abcdefabcdef", links, lambda: "token", lambda: (0.0, 1)
         )
         kept = keeper.Keeper(chosen, links, self.membership, self.configured)
-        asked = demands.Demands(chosen, links, self.membership, kept)
+        demanding = demands.Demands(chosen, links, self.membership, kept)
         self.owned = owner.Owner(
             chosen,
             "abcdefabcdef",
             http,
-            asked,
+            demanding,
             self.membership.is_leaving,
             lambda: "",
         )
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -48,8 +48,8 @@
         """Do nothing."""
 
 
-def _run_with_client(test: Test, credential: str = "", **more: typing.Any) -> None:
-    async def inside(instance: fakes.Instance) -> None:
+def _run_with_client(test: Test, credential: str = "", **overrides: typing.Any) -> None:
+    async def run_with_server(instance: fakes.Instance) -> None:
         served = serving.Served(_FakeServer(instance.application))
         await served.start()
         instance.membership.admin_address = served.address
@@ -61,7 +61,7 @@
         finally:
             await served.stop()
 
-    fakes.run(inside, **more)
+    fakes.run(run_with_server, **overrides)
 
 
 def _cli(*arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
@@ -272,7 +272,7 @@
 
 
 def test_reports_an_address_that_is_not_the_operators() -> None:
-    async def inside() -> None:
+    async def run_with_server() -> None:
         async def page(request: object) -> responses.Response:
             return responses.PlainTextResponse("not here", 404)
 
@@ -288,7 +288,7 @@
         finally:
             await served.stop()
 
-    asyncio.run(inside())
+    asyncio.run(run_with_server())
 
 
 def test_exit_codes(tmp_path: pathlib.Path) -> None:
