--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -147,7 +147,7 @@
             parts.recovering,
             self._pauses,
         )
-        caller_interface.on_refused(operator_reports.refused)
+        caller_interface.on_refused(operator_reports.record_refusal)
         admin_interface = admin.Admin(
             settings,
             self._incarnation,
@@ -161,7 +161,7 @@
         if self._gateway is not None:
             self._membership.http_address = settings.gateway.front
             self._gateway.accounting.on_ended(operator_reports.record_gateway_request)
-            self._gateway.accounting.on_refused(operator_reports.refused)
+            self._gateway.accounting.on_refused(operator_reports.record_refusal)
             self._gateway.start()
         else:
             bound.append(
@@ -230,7 +230,7 @@
             ).run(),
             self._limits.renew(),
             self._dependencies.poll(),
-            self._engine_reports.read(),
+            self._engine_reports.poll(),
             self._owner.sweep(),
         ]
 
--- a/packages/daemon/cassiaquay_daemon/operators/history.py
+++ b/packages/daemon/cassiaquay_daemon/operators/history.py
@@ -72,7 +72,7 @@
             Event(at=record.created, name=name, alarm=alarm, team=team, fields=fields)
         )
 
-    def refused(self, team: str, **fields: Field) -> None:
+    def add_refusal(self, team: str, **fields: Field) -> None:
         """Retain a refusal with its reason."""
         self._events.append(
             Event(
@@ -86,14 +86,14 @@
 
     def recent(self, limit: int, team: str = "") -> list[Event]:
         """Return the last events, newest first; only those of ``team`` when given."""
-        found: list[Event] = []
+        events: list[Event] = []
         for event in reversed(self._events):
-            if len(found) >= limit:
+            if len(events) >= limit:
                 break
             if team and event["team"] != team:
                 continue
-            found.append(event)
-        return found
+            events.append(event)
+        return events
 
 
 def _encodable(value: object) -> Field:
