--- a/packages/caller/cassiaquay/adapters.py
+++ b/packages/caller/cassiaquay/adapters.py
@@ -1,4 +1,4 @@
-"""Transports, mounted on a session by prefix of the URL.
+"""HTTP transports, mounted on a session by URL prefix.
 
 >>> session.mount("http://", MyAdapter(settings))
 """
@@ -19,22 +19,22 @@
 
 
 def register(prefix: str) -> collections.abc.Callable[[_T], _T]:
-    """Make the decorated adapter the default for URLs that start so."""
+    """Return a decorator that makes a class the default for URLs with ``prefix``."""
 
-    def keep(adapter: _T) -> _T:
+    def add(adapter: _T) -> _T:
         _registry[prefix] = adapter
         return adapter
 
-    return keep
+    return add
 
 
 def create_defaults(settings: models.Settings) -> dict[str, "BaseAdapter"]:
-    """Return one adapter of each registered kind by prefix."""
+    """Return an instance of each registered adapter class, by URL prefix."""
     return {prefix: kind(settings) for prefix, kind in _registry.items()}
 
 
 class Call(typing.NamedTuple):
-    """One HTTP exchange to make."""
+    """One HTTP request to send."""
 
     method: str
     url: str
@@ -43,44 +43,44 @@
 
 
 class Reply(abc.ABC):
-    """A reply whose body is read in pieces."""
+    """An HTTP response with a known status, whose body is read in chunks."""
 
     status: int
 
     @abc.abstractmethod
     async def read(self) -> bytes:
-        """Return the next piece; empty at the end. Raises AttemptFailed."""
+        """Return the next chunk; empty at the end. Raises AttemptFailed."""
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Give the connection up; nothing more is read."""
+        """Release the connection without reading the rest of the body."""
 
     async def read_all(self) -> bytes:
-        """Return the whole (short) body. Raises AttemptFailed."""
-        pieces = b""
-        while piece := await self.read():
-            pieces += piece
-            if len(pieces) > MAX_BODY_SIZE:
-                raise exceptions.AttemptFailed("the body is too large")
-        return pieces
+        """Return the whole body. Raises AttemptFailed above ``MAX_BODY_SIZE``."""
+        body = b""
+        while chunk := await self.read():
+            body += chunk
+            if len(body) > MAX_BODY_SIZE:
+                raise exceptions.AttemptFailed("the response body is too large")
+        return body
 
 
 class BaseAdapter(abc.ABC):
-    """A transport."""
+    """A transport, which sends calls and returns their replies."""
 
     def __init__(self, settings: models.Settings) -> None:
         self.settings = settings
 
     @abc.abstractmethod
     async def send(self, call: Call) -> Reply:
-        """Send ``call`` and return once the status is known.
+        """Send ``call`` and return once the response status is known.
 
         Raises
         ------
         NotConnected
-            When no byte was written.
+            When no connection was established, so no byte was written.
         AttemptFailed
-            When no status came; the call may have been received all the same.
+            When no status was received; the instance may have received the call.
         """
 
     @abc.abstractmethod
@@ -97,16 +97,19 @@
         try:
             return await self._response.content.readany()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise exceptions.AttemptFailed(f"cut while reading: {error!r}") from error
+            raise exceptions.AttemptFailed(
+                f"the connection failed while reading the body: {error!r}"
+            ) from error
 
     def close(self) -> None:
-        # A body read to its end has given its connection back already.
+        # No effect after the whole body is read: aiohttp has then already returned the
+        # connection to its pool.
         self._response.close()
 
 
 @register("http://")
 class AiohttpAdapter(BaseAdapter):
-    """HTTP by ``aiohttp``; a URL never leads to another by redirection."""
+    """HTTP by ``aiohttp``; does not follow redirects."""
 
     def __init__(self, settings: models.Settings) -> None:
         super().__init__(settings)
@@ -125,7 +128,9 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise exceptions.NotConnected(f"no connection: {error!r}") from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise exceptions.AttemptFailed(f"no status: {error!r}") from error
+            raise exceptions.AttemptFailed(
+                f"no response status was received: {error!r}"
+            ) from error
         return _AiohttpReply(response)
 
     async def close(self) -> None:
@@ -135,7 +140,8 @@
 
     def _open_client(self) -> aiohttp.ClientSession:
         if self._client is None:
-            # Silence is judged by each attempt: a waiting request is silent too.
+            # No read timeout: an instance sends nothing while a request waits in a
+            # queue. ``Attempt`` detects instances that no longer respond.
             timeout = aiohttp.ClientTimeout(
                 total=None, sock_connect=self.settings.connect_timeout
             )
--- a/packages/caller/cassiaquay/addresses.py
+++ b/packages/caller/cassiaquay/addresses.py
@@ -1,4 +1,8 @@
-"""Address look-up: ranked lists kept for a while, and a choice among the best."""
+"""Look-up of instance addresses: caches ranked lists and chooses among the best.
+
+Each address comes with a token, which forms the first part of request ids and names
+the instance that owns them.
+"""
 
 import asyncio
 import collections.abc
@@ -7,16 +11,16 @@
 
 from . import adapters, exceptions, ids, models
 
-BEST = 3
-"""How many of the ranked addresses the choice is spread over."""
+MAX_CANDIDATES = 3
+"""Number of top-ranked addresses that requests are distributed over."""
 SUSPECT_SECONDS = 2.0
-"""How long an address that failed is taken only when no other is left."""
+"""Time after a failure for which an address is used only when no other is left."""
 MIN_REFRESH_SECONDS = 0.2
-"""Least time between two look-ups, however often the list is doubted."""
-STALE_KEEPS = 4.0
-"""Times ``keep_seconds`` for which a list that can't be renewed gives new ids."""
+"""Minimum time between two look-ups, however often the list is invalidated."""
+STALE_FACTOR = 4.0
+"""Multiple of ``keep_seconds`` after which an unrefreshed list forms no new ids."""
 MAX_OWNERS = 256
-"""Tokens of earlier lists of which the address is remembered."""
+"""Maximum number of tokens, also of earlier lists, whose address is remembered."""
 
 Send = collections.abc.Callable[
     [adapters.Call], collections.abc.Awaitable[adapters.Reply]
@@ -24,24 +28,24 @@
 
 
 class AddressBook:
-    """The addresses that a session knows.
+    """The cached instance addresses of a session.
 
     Parameters
     ----------
     settings : models.Settings
-        Seeds, domain and time limits.
+        Seeds, failure domain and timeouts.
     send : callable
-        Sends one call by the adapter for its URL.
+        Sends one call by the adapter mounted for its URL.
     """
 
     def __init__(self, settings: models.Settings, send: Send) -> None:
         self._settings = settings
         self._send = send
         self._addresses: list[models.Address] = []
-        self._expiry = 0.0
-        self._stale = 0.0
-        self._fetched = float("-inf")
-        self._suspects: dict[str, float] = {}
+        self._expires_at = 0.0
+        self._stale_at = 0.0
+        self._fetched_at = float("-inf")
+        self._suspect_until: dict[str, float] = {}
         self._owners: dict[str, models.Address] = {}
         self._lock = asyncio.Lock()
 
@@ -53,62 +57,65 @@
         Parameters
         ----------
         hint : str
-            Taken when the list has it and it did not fail just now.
+            Returned when the list contains it and it has not failed recently.
         avoid : str
-            Not taken while there is another.
+            Returned only when the list has no other address.
         fresh : bool
-            The token is for a new id, so a list kept for long will not do.
+            The token will form a new id, so a list past its stale time is refused.
 
         Raises
         ------
         NoAddress
-            When no instance gave a list and none, or too old a one, was kept.
+            When no instance returned a list and none is cached, or when ``fresh`` is
+            set and the cached list is stale.
         """
         await self._refresh()
-        # An expired token gets ``outcome_unknown`` for a request that nobody saw;
-        # not sending it says the truth, "not run".
+        # Instances answer ``outcome_unknown`` for an id with an expired token, although
+        # the request never ran. Not sending it lets the caller report "not run".
         now = asyncio.get_running_loop().time()
-        if not self._addresses or (fresh and now > self._stale):
+        if not self._addresses or (fresh and now > self._stale_at):
             raise exceptions.NoAddress("no instance gave any address")
-        good = [one for one in self._addresses if not self._is_suspect(one.address)]
-        for one in good:
-            if one.address == hint:
-                return one
-        # All failed just now: one of them is still a better try than none.
+        good = [
+            entry for entry in self._addresses if not self._is_suspect(entry.address)
+        ]
+        for entry in good:
+            if entry.address == hint:
+                return entry
+        # When all addresses have failed recently, one of them is tried anyway.
         ranked = good or self._addresses
-        others = [one for one in ranked if one.address != avoid]
+        others = [entry for entry in ranked if entry.address != avoid]
         if not others:
-            others = [one for one in self._addresses if one.address != avoid]
-        return _choose_weighted((others or ranked)[:BEST])
+            others = [entry for entry in self._addresses if entry.address != avoid]
+        return _choose_weighted((others or ranked)[:MAX_CANDIDATES])
 
     async def find_owner(self, request_id: str) -> models.Address | None:
-        """Return the address whose token formed ``request_id``, if known."""
+        """Return the address whose token formed ``request_id``, or None."""
         await self._refresh()
         return self._owners.get(ids.find_token(request_id))
 
     def report_failure(self, address: str) -> None:
-        """Move on from an address that broke off, and doubt the list."""
+        """Mark an address as suspect after a failure and invalidate the list."""
         now = asyncio.get_running_loop().time()
-        self._suspects[address] = now + SUSPECT_SECONDS
+        self._suspect_until[address] = now + SUSPECT_SECONDS
         self.invalidate()
 
     def report_success(self, address: str) -> None:
-        """Trust an address again."""
-        self._suspects.pop(address, None)
+        """Clear the suspicion of an address."""
+        self._suspect_until.pop(address, None)
 
     def invalidate(self) -> None:
-        """Ask for the list again before the next choice."""
-        self._expiry = 0.0
+        """Fetch the list again before the next choice."""
+        self._expires_at = 0.0
 
     def _is_suspect(self, address: str) -> bool:
-        until = self._suspects.get(address, 0.0)
+        until = self._suspect_until.get(address, 0.0)
         return until > asyncio.get_running_loop().time()
 
     def _is_fresh(self) -> bool:
         now = asyncio.get_running_loop().time()
         if not self._addresses:
             return False
-        return now < self._expiry or now < self._fetched + MIN_REFRESH_SECONDS
+        return now < self._expires_at or now < self._fetched_at + MIN_REFRESH_SECONDS
 
     async def _refresh(self) -> None:
         if self._is_fresh():
@@ -120,43 +127,48 @@
 
     async def _look_up(self) -> None:
         loop = asyncio.get_running_loop()
-        for place in self._order_places():
-            found = await self._ask(place)
+        for source in self._order_sources():
+            found = await self._fetch_list(source)
             if found is None or not found.addresses:
                 continue
-            self._fetched = loop.time()
-            self._expiry = self._fetched + found.keep_seconds
-            keep = max(found.keep_seconds, MIN_REFRESH_SECONDS)
-            self._stale = self._fetched + keep * STALE_KEEPS
+            self._fetched_at = loop.time()
+            self._expires_at = self._fetched_at + found.keep_seconds
+            lifetime = max(found.keep_seconds, MIN_REFRESH_SECONDS)
+            self._stale_at = self._fetched_at + lifetime * STALE_FACTOR
             self._addresses = found.addresses
             self._remember_owners()
             now = loop.time()
-            self._suspects = {
-                one: until for one, until in self._suspects.items() if until > now
+            self._suspect_until = {
+                entry: until
+                for entry, until in self._suspect_until.items()
+                if until > now
             }
             return
-        # Nobody answers: the list kept is the best there is, for a short while.
-        self._fetched = loop.time()
+        # No source answered: use the cached list and wait MIN_REFRESH_SECONDS before
+        # the next look-up.
+        self._fetched_at = loop.time()
 
     def _remember_owners(self) -> None:
-        # Each list brings new tokens. Without the old ones, nobody would ask the owner
-        # itself about a request that another instance calls unknown.
-        for one in self._addresses:
-            self._owners[one.token] = one
+        # Each list has new tokens. The old ones are kept so that a request under an
+        # earlier token can still be looked up at its owner: other instances answer
+        # "unknown" for it.
+        for entry in self._addresses:
+            self._owners[entry.token] = entry
         for token in list(self._owners)[:-MAX_OWNERS]:
             del self._owners[token]
 
-    def _order_places(self) -> list[str]:
-        known = [one.address for one in self._addresses]
+    def _order_sources(self) -> list[str]:
+        """Return the addresses to fetch the list from, suspect ones last."""
+        known = [entry.address for entry in self._addresses]
         seeds = list(self._settings.seeds)
         random.shuffle(seeds)
-        places = list(dict.fromkeys([*known[:BEST], *seeds, *known]))
-        places.sort(key=self._is_suspect)
-        return places
+        sources = list(dict.fromkeys([*known[:MAX_CANDIDATES], *seeds, *known]))
+        sources.sort(key=self._is_suspect)
+        return sources
 
-    async def _ask(self, place: str) -> models.AddressList | None:
+    async def _fetch_list(self, source: str) -> models.AddressList | None:
         domain = urllib.parse.quote(self._settings.domain, safe="")
-        url = f"http://{place}/v1/addresses?domain={domain}"
+        url = f"http://{source}/v1/addresses?domain={domain}"
         try:
             async with asyncio.timeout(self._settings.connect_timeout):
                 reply = await self._send(adapters.Call("GET", url, {}))
--- a/packages/caller/cassiaquay/api.py
+++ b/packages/caller/cassiaquay/api.py
@@ -1,7 +1,8 @@
-"""Single requests without a session of one's own.
+"""Single requests without a session.
 
-Each function opens a session, makes one request and closes it; programs that
-make several keep a ``Session``, which also keeps addresses and connections.
+Each function opens a session, sends one request and closes the session. A program
+that sends several requests should use a ``Session``, which reuses addresses and
+connections.
 """
 
 import typing
@@ -12,7 +13,7 @@
 async def ask(
     settings: models.Settings, service: str, prompt: str, **options: typing.Any
 ) -> models.Answer:
-    """Return the whole answer of a model engine; options as ``Session.ask``.
+    """Return the whole answer of a model engine; takes the options of ``Session.ask``.
 
     >>> answer = await cassiaquay.ask(settings, "tutor-assist", "What is a prime?")
     """
@@ -27,7 +28,7 @@
     payload: typing.Any = None,
     **options: typing.Any,
 ) -> models.Answer:
-    """Return the whole answer of a plain service; options as ``Session.call``.
+    """Return the answer of a plain service; takes the options of ``Session.call``.
 
     >>> await cassiaquay.call(settings, "bookings-app", "/times", {"day": 3})
     """
@@ -36,12 +37,12 @@
 
 
 async def outcome(settings: models.Settings, request_id: str) -> models.Outcome:
-    """Return what became of a request."""
+    """Return the outcome of a request."""
     async with sessions.Session(settings) as session:
         return await session.outcome(request_id)
 
 
 async def cancel(settings: models.Settings, request_id: str) -> models.Outcome:
-    """Give a request up and return its outcome."""
+    """Cancel a request and return its outcome."""
     async with sessions.Session(settings) as session:
         return await session.cancel(request_id)
--- a/packages/caller/cassiaquay/attempts.py
+++ b/packages/caller/cassiaquay/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt: a call under an id at one address, read until it ends or breaks off."""
+"""One attempt: a call for a request id to one address, read until it ends or fails."""
 
 import asyncio
 import collections.abc
@@ -13,11 +13,11 @@
     Parameters
     ----------
     session : Channel
-        Gives transports, addresses and hooks.
+        Provides transports, addresses and hooks.
     deadline : deadlines.Deadline
         Bounds the whole request.
     request_id, address : str
-        What is asked about, and where.
+        Id of the request, and the instance to send to.
     """
 
     def __init__(
@@ -28,11 +28,11 @@
         address: str,
     ) -> None:
         self.accepted = False
-        """Whether a status 200 came: the id is known and its answer is there."""
+        """Whether the instance replied with status 200, so it serves this id."""
         self.refusal: models.Outcome | None = None
-        """What a status other than 200 said, for the exchange to judge."""
+        """Outcome in a reply with another status, for the exchange to handle."""
         self.unsent = False
-        """Whether no byte of it left the caller."""
+        """Whether the attempt failed before any byte was sent."""
         self._session = session
         self._deadline = deadline
         self._request_id = request_id
@@ -41,7 +41,7 @@
     async def run(
         self, call: adapters.Call, transcript: streams.Transcript
     ) -> collections.abc.AsyncGenerator[str | models.Outcome, None]:
-        """Yield new events, then the outcome unless the attempt broke off."""
+        """Yield new events, then the outcome unless the attempt failed."""
         finished = False
         reply: adapters.Reply | None = None
         try:
@@ -50,7 +50,9 @@
                 await self._read_refusal(reply)
                 return
             self.accepted = True
-            async with contextlib.aclosing(self._events(reply, transcript)) as parts:
+            async with contextlib.aclosing(
+                self._read_events(reply, transcript)
+            ) as parts:
                 async for part in parts:
                     finished = isinstance(part, models.Outcome)
                     yield part
@@ -59,9 +61,9 @@
             self._session.addresses.report_failure(self._address)
         finally:
             if reply is not None:
-                self._end(reply, finished)
+                self._close_reply(reply, finished)
 
-    def _end(self, reply: adapters.Reply, finished: bool) -> None:
+    def _close_reply(self, reply: adapters.Reply, finished: bool) -> None:
         if finished:
             self._session.drain_later(reply)
         else:
@@ -70,32 +72,34 @@
     async def _read_refusal(self, reply: adapters.Reply) -> None:
         raw = await self._deadline.bound(reply.read_all())
         outcome = models.parse_outcome(raw, reply.status)
-        is_wrong = 400 <= reply.status < 500 and reply.status != 429
+        is_client_error = 400 <= reply.status < 500 and reply.status != 429
         if outcome is None or not outcome.outcome:
-            # No outcome in our words (a crash page): nothing is known by it, except
-            # that the call as it stands is wrong.
-            if not is_wrong:
+            # Not an outcome of cassiaquay (an error page of a proxy, for example): the
+            # result is unknown, except that a 4xx status rejects the call itself.
+            if not is_client_error:
                 raise exceptions.AttemptFailed(f"status {reply.status} without outcome")
             outcome = outcome or models.Outcome(status=reply.status)
         self.refusal = outcome
 
-    async def _events(
+    async def _read_events(
         self, reply: adapters.Reply, transcript: streams.Transcript
     ) -> collections.abc.AsyncGenerator[str | models.Outcome, None]:
         parser = streams.Parser()
         while True:
             chunk = await self._read(reply)
             if not chunk:
-                raise exceptions.AttemptFailed("ended without a final event")
+                raise exceptions.AttemptFailed("the stream ended without a final event")
             for event in parser.feed(chunk):
                 if event.kind == streams.FINAL:
                     outcome = models.parse_outcome(event.data)
                     if outcome is None or not outcome.outcome:
-                        raise exceptions.AttemptFailed("the final event is broken")
+                        raise exceptions.AttemptFailed(
+                            "the final event has no valid outcome"
+                        )
                     self._session.addresses.report_success(self._address)
                     yield outcome
                     return
-                if event.kind or not transcript.take(event):
+                if event.kind or not transcript.append(event):
                     continue
                 self._session.hooks.dispatch(
                     hooks.EVENT,
@@ -104,42 +108,45 @@
                 yield event.data
 
     async def _send(self, call: adapters.Call) -> adapters.Reply:
-        """Return the reply to ``call``, which is held back while a request waits."""
+        """Return the reply to ``call``, which comes only after the request's wait."""
         task = asyncio.ensure_future(self._session.send(call))
         try:
             while True:
-                silence = self._silence()
-                await asyncio.wait({task}, timeout=silence)
+                silence_timeout = self._silence_timeout()
+                await asyncio.wait({task}, timeout=silence_timeout)
                 if task.done():
                     return task.result()
-                await self._check_silence()
+                await self._check_under_way()
         finally:
             if not task.done():
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
     async def _read(self, reply: adapters.Reply) -> bytes:
-        """Return the next piece of ``reply``."""
+        """Return the next chunk of ``reply``."""
         while True:
             try:
-                async with asyncio.timeout(self._silence()):
+                async with asyncio.timeout(self._silence_timeout()):
                     return await reply.read()
             except TimeoutError:
-                await self._check_silence()
+                await self._check_under_way()
 
-    def _silence(self) -> float:
+    def _silence_timeout(self) -> float:
         return min(self._session.settings.silence_timeout, self._deadline.left)
 
-    async def _check_silence(self) -> None:
-        """Raise unless the request goes on.
+    async def _check_under_way(self) -> None:
+        """Raise unless the instance confirms that the request is under way.
 
-        The failure: a paused instance keeps its connections and says nothing; so does
-        one where the request waits its turn. Taking silence for a fault would send
-        waiting requests round all instances and spend the retry budget; waiting for
-        ever would hang on the paused one. The question tells them apart.
+        A paused instance keeps its connections open and sends nothing, and so does an
+        instance where the request waits in a queue. Treating silence as a fault would
+        send waiting requests to one instance after the other and spend the retry
+        budget; waiting without limit would hang on a paused instance. The query
+        distinguishes the two.
         """
         if self._deadline.left <= 0:
             raise TimeoutError
-        asked = self._session.is_under_way(self._request_id, self._address)
-        if not await self._deadline.bound(asked):
-            raise exceptions.AttemptFailed("silent")
+        query = self._session.is_under_way(self._request_id, self._address)
+        if not await self._deadline.bound(query):
+            raise exceptions.AttemptFailed(
+                "the instance does not confirm that the request is under way"
+            )
--- a/packages/caller/cassiaquay/channels.py
+++ b/packages/caller/cassiaquay/channels.py
@@ -1,7 +1,7 @@
-"""What a request needs of the session that it belongs to.
+"""The part of a session that its requests use.
 
-Requests and their attempts are written against this, so that they import no session and
-a session can import them.
+``exchanges`` and ``attempts`` depend on this protocol instead of ``sessions``, which
+imports them.
 """
 
 import typing
@@ -10,7 +10,7 @@
 
 
 class Channel(typing.Protocol):
-    """A session, as its requests see it."""
+    """The interface of a session that exchanges and attempts use."""
 
     settings: models.Settings
     hooks: hooks.Hooks
@@ -18,25 +18,25 @@
     addresses: addresses.AddressBook
 
     async def send(self, call: adapters.Call) -> adapters.Reply:
-        """Send a call and return the beginning of its reply."""
+        """Send a call and return its reply once the status is known."""
 
     async def outcome(self, request_id: str) -> models.Outcome:
-        """Return what became of a request."""
+        """Return the outcome of a request."""
 
     async def cancel(self, request_id: str) -> models.Outcome:
-        """Cancel a request and return what became of it."""
+        """Cancel a request and return its outcome."""
 
     async def is_under_way(self, request_id: str, address: str) -> bool:
-        """Ask an instance whether a request goes on there."""
+        """Ask an instance whether a request is waiting, running or completed there."""
 
     def form_call(self, method: str, url: str, body: bytes = b"") -> adapters.Call:
-        """Return a call with the session's credential."""
+        """Return a call that carries the session's credential."""
 
     def acknowledge_later(self, request_id: str, address: str) -> None:
-        """Tell in the background that an answer was read whole."""
+        """Acknowledge a whole answer in the background."""
 
     def cancel_later(self, request_id: str, address: str) -> None:
         """Cancel a request in the background."""
 
     def drain_later(self, reply: adapters.Reply) -> None:
-        """Read a reply to its end in the background, to keep its connection."""
+        """Read a reply to its end in the background, to reuse its connection."""
--- a/packages/caller/cassiaquay/deadlines.py
+++ b/packages/caller/cassiaquay/deadlines.py
@@ -1,4 +1,4 @@
-"""One point in time that bounds every await of a request."""
+"""The deadline that bounds every await of a request."""
 
 import asyncio
 import collections.abc
@@ -8,17 +8,17 @@
 
 
 class Deadline:
-    """A point of the event loop's monotonic clock that bounds single awaits."""
+    """A time on the event loop's monotonic clock that limits awaits."""
 
     def __init__(self, seconds: float) -> None:
-        self._at = asyncio.get_running_loop().time() + seconds
+        self._expires_at = asyncio.get_running_loop().time() + seconds
 
     @property
     def left(self) -> float:
-        """Seconds left; negative once passed."""
-        return self._at - asyncio.get_running_loop().time()
+        """Seconds left; negative after the deadline."""
+        return self._expires_at - asyncio.get_running_loop().time()
 
     async def bound(self, awaitable: collections.abc.Awaitable[_T]) -> _T:
-        """Await no longer than the deadline. Raises TimeoutError."""
-        async with asyncio.timeout_at(self._at):
+        """Return the result of ``awaitable``; raise TimeoutError at the deadline."""
+        async with asyncio.timeout_at(self._expires_at):
             return await awaitable
--- a/packages/caller/cassiaquay/exceptions.py
+++ b/packages/caller/cassiaquay/exceptions.py
@@ -1,6 +1,6 @@
-"""Errors of the caller package: one root, each with a stable ``code``.
+"""Errors of the caller package, each with a stable ``code``.
 
-The class says whether the request ran:
+The class of an error tells whether the request ran:
 
 >>> try:
 ...     await session.call("bookings-app", "/book", payload, idempotent=False)
@@ -14,14 +14,14 @@
 
 
 class CassiaquayError(Exception):
-    """Root of all errors of this package.
+    """Base class of all errors of this package.
 
     Parameters
     ----------
     message : str
-        What happened, for people.
+        Human-readable description.
     code : str, optional
-        Stable word for programs; the one of the class when left out.
+        Stable code for programs; that of the class by default.
     request_id : str
         Id of the request that the error is about, when there is one.
     """
@@ -41,7 +41,7 @@
     Parameters
     ----------
     retry_after : float
-        Seconds before which a new request is not worth sending.
+        Seconds to wait before sending a new request.
     """
 
     code = "not_run"
@@ -60,7 +60,7 @@
 
 
 class BadRequest(NotRun):
-    """The request is wrong as it stands; sending it again gives the same."""
+    """The request is invalid; an unchanged retry fails with this error again."""
 
     code = "bad_request"
 
@@ -72,40 +72,41 @@
 
 
 class OutcomeUnknown(CassiaquayError):
-    """The request may have run; ``Session.outcome`` may tell later."""
+    """The request may have run; ``Session.outcome`` may return its outcome later."""
 
     code = "outcome_unknown"
 
 
 class Timeout(OutcomeUnknown):
-    """The deadline passed and the cancellation did not say ``not_run``."""
+    """The deadline passed and the cancellation did not return ``not_run``."""
 
     code = "timeout"
 
 
 class Failed(CassiaquayError):
-    """The request ran and the backend server refused or broke it."""
+    """The request ran, and the backend server refused it or failed during it."""
 
     code = "failed"
     ran = True
 
 
 class AnswerNotWhole(CassiaquayError):
-    """The answer differs from its count or digest, also when read again.
+    """The answer does not match its count or digest, also when read again.
 
-    Also raised when a stream would go on with text of another request.
+    Also raised when a stream that has yielded events can only continue with the
+    answer of another request id.
     """
 
     code = "answer_not_whole"
 
 
 class AttemptFailed(CassiaquayError):
-    """One attempt broke off without saying an outcome; never leaves a session."""
+    """One attempt ended without an outcome; handled within a session."""
 
     code = "attempt_failed"
 
 
 class NotConnected(AttemptFailed):
-    """No connection came about, so no byte of the attempt left the caller."""
+    """No connection was established, so no byte of the attempt was sent."""
 
     code = "not_connected"
--- a/packages/caller/cassiaquay/hooks.py
+++ b/packages/caller/cassiaquay/hooks.py
@@ -2,7 +2,8 @@
 
 >>> session.hooks.register("outcome", print)
 
-History checking records a run with them. A hook must not block.
+Test runs use them to record histories for checking. Hooks run on the event loop and
+must not block.
 """
 
 import collections.abc
@@ -21,14 +22,14 @@
     address: str
     method: str
     start: int
-    """Number of the first event asked for."""
+    """Number of the first event requested."""
     call: str = ""
-    """The same for all ids that serve one call of the application."""
+    """Shared by all request ids of one call of the application."""
     idempotent: bool = True
 
 
 class Event(typing.NamedTuple):
-    """An event received for the first time."""
+    """An event that was received for the first time."""
 
     request_id: str
     number: int
@@ -36,7 +37,7 @@
 
 
 class Outcome(typing.NamedTuple):
-    """An outcome of one id, or what the caller concluded (``source`` "caller")."""
+    """The outcome of one id, by an instance or by the caller (see ``source``)."""
 
     request_id: str
     outcome: str
@@ -55,18 +56,18 @@
         self._hooks: dict[str, list[Hook]] = {name: [] for name in NAMES}
 
     def register(self, name: str, hook: Hook) -> None:
-        """Call ``hook`` with each report of that name from now on.
+        """Call ``hook`` with each later report of that name.
 
         Raises
         ------
         ValueError
-            When ``name`` is none of ``NAMES``.
+            When ``name`` is not in ``NAMES``.
         """
         if name not in self._hooks:
             raise ValueError(f"no hook is named {name!r}; there are {NAMES}")
         self._hooks[name].append(hook)
 
     def dispatch(self, name: str, report: Report) -> None:
-        """Call the hooks of that name in the order they were registered."""
+        """Call the hooks of that name in order of registration."""
         for hook in self._hooks[name]:
             hook(report)
--- a/packages/caller/cassiaquay/ids.py
+++ b/packages/caller/cassiaquay/ids.py
@@ -6,7 +6,7 @@
 
 
 def form_id(token: str) -> str:
-    """Return an id, never used before, that the holder of ``token`` owns.
+    """Return a new unique id, owned by the instance that issued ``token``.
 
     >>> form_id("cq-1.9f3c")  # doctest: +SKIP
     'cq-1.9f3c~0b9e...'
--- a/packages/caller/cassiaquay/models.py
+++ b/packages/caller/cassiaquay/models.py
@@ -1,4 +1,4 @@
-"""What goes to and comes from cassiaquay: settings, requests, outcomes, answers."""
+"""Settings, requests, outcomes, answers and addresses, and their parsing."""
 
 import typing
 
@@ -9,7 +9,7 @@
 OUTCOME_UNKNOWN = "outcome_unknown"
 FAILED = "failed"
 UNDER_WAY = frozenset({"waiting", "dispatched"})
-"""States of a request whose outcome is still to come."""
+"""States of a request that has no outcome yet."""
 
 
 class Settings(typing.NamedTuple):
@@ -19,37 +19,37 @@
     """
 
     seeds: list[str]
-    """Places ("host:port") to ask for addresses while none is known."""
+    """Instances ("host:port") to look up addresses at while none is known."""
     domain: str = ""
-    """Failure domain that the caller runs in."""
+    """Failure domain in which the caller runs."""
     credential: str = ""
     """Credential of the team, sent as a bearer token."""
     timeout: float = 30.0
-    """Deadline of a request that names none."""
+    """Time limit of a request that sets no deadline."""
     connect_timeout: float = 1.0
-    """Bound on opening a connection, and on each address look-up."""
+    """Time limit for opening a connection, and for each address look-up."""
     silence_timeout: float = 3.0
-    """Silence after which the instance is asked whether the request goes on."""
+    """Time without data after which the instance is queried for the request's state."""
     question_timeout: float = 1.0
-    """Bound on each question about a request; without an answer, others are asked."""
+    """Time limit of each such query; after it, another instance is used."""
     cancel_timeout: float = 0.5
-    """Bound on the cancellation sent once the deadline has passed."""
+    """Time limit of the cancellation that is sent after the deadline."""
     close_timeout: float = 1.0
-    """Bound on waiting for background acknowledgements at close."""
+    """Time limit for background work, also when the session is closed."""
     max_attempts: int = 8
-    """Attempts without progress, over all ids of one request."""
+    """Maximum number of attempts without progress, over all ids of one request."""
     backoff_base: float = 0.05
     backoff_cap: float = 2.0
     budget_capacity: float = 10.0
-    """Retries that a session may make before the ratio binds it."""
+    """Maximum number of saved retries; a session starts with as many."""
     budget_ratio: float = 0.1
-    """Retries earned by each new request."""
+    """Retries added to the budget by each new request."""
     max_background: int = 256
-    """Acknowledgements and cancellations under way at once; more are dropped."""
+    """Maximum number of concurrent background calls; more are dropped."""
 
 
 class Address(typing.NamedTuple):
-    """One instance that takes requests."""
+    """The address of an instance that accepts requests, and its token for ids."""
 
     address: str
     instance: str
@@ -58,7 +58,7 @@
 
 
 class AddressList(typing.NamedTuple):
-    """Answer of a look-up, best address first, good for ``keep_seconds``."""
+    """Result of a look-up, best address first, valid for ``keep_seconds``."""
 
     keep_seconds: float
     addresses: list[Address]
@@ -80,10 +80,10 @@
 
 
 class Request(typing.NamedTuple):
-    """A request before it has an id.
+    """A request that has no id yet.
 
-    ``restart`` allows a new id after ``outcome_unknown``; it has no effect on a
-    request that is not idempotent.
+    ``restart`` allows a second run under a new id after ``outcome_unknown``; it has no
+    effect on a request that is not idempotent.
     """
 
     body: RequestBody
@@ -92,33 +92,33 @@
 
     @property
     def may_restart(self) -> bool:
-        """Whether a second run is harmless and allowed."""
+        """Whether the request is idempotent and a second run is allowed."""
         return self.restart and self.body.get("idempotent", True)
 
 
 class Outcome(typing.NamedTuple):
-    """What is known of a request; ``outcome`` is empty while it is under way."""
+    """The known state of a request; ``outcome`` is empty while it is under way."""
 
     outcome: str = ""
     code: str = ""
     state: str = ""
     message: str = ""
     retry_after: float = 0.0
-    """Seconds."""
+    """Seconds to wait before a new request."""
     address: str = ""
-    """Hint where a new request may do better."""
+    """Preferred address for a new request, or empty."""
     status: int = 200
     event_count: int = -1
     digest: str = ""
 
     @property
     def is_settled(self) -> bool:
-        """Whether the outcome is known for good."""
+        """Whether the outcome is known and final."""
         return self.outcome not in ("", OUTCOME_UNKNOWN)
 
 
 class Answer(typing.NamedTuple):
-    """A whole answer, checked against its count and digest.
+    """A whole answer, verified against its event count and digest.
 
     >>> answer = await session.ask("tutor-assist", "What is a prime?")
     >>> answer.text, answer.count
@@ -136,7 +136,7 @@
 
     @property
     def text(self) -> str:
-        """The texts of all events, joined."""
+        """Concatenated texts of all events."""
         return "".join(read_text(data) for data in self.events)
 
     def json(self) -> typing.Any:
@@ -145,7 +145,7 @@
 
 
 def read_text(data: str) -> str:
-    """Return the text of one event; empty for an event of another kind."""
+    """Return the text of one event; empty for an event without text."""
     try:
         value = msgspec.json.decode(data)
     except msgspec.DecodeError:
@@ -167,7 +167,7 @@
 
 
 def parse_outcome(raw: bytes | str, status: int = 200) -> Outcome | None:
-    """Return the outcome in a JSON text, or None when it holds none."""
+    """Return the outcome in a JSON text, or None when it is not an outcome."""
     try:
         wire = msgspec.json.decode(raw, type=_WireOutcome)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -198,13 +198,13 @@
 
 
 def parse_addresses(raw: bytes) -> AddressList | None:
-    """Return the address list in a JSON text, or None when it holds none."""
+    """Return the address list in a JSON text, or None when it is not a list."""
     try:
         wire = msgspec.json.decode(raw, type=_WireAddressList)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
     found = [
-        Address(one.address, one.instance, one.domain, one.token)
-        for one in wire.addresses
+        Address(entry.address, entry.instance, entry.domain, entry.token)
+        for entry in wire.addresses
     ]
     return AddressList(wire.keep_seconds, found)
--- a/packages/caller/cassiaquay/retries.py
+++ b/packages/caller/cassiaquay/retries.py
@@ -1,4 +1,4 @@
-"""When to try again: back-off with jitter, and a budget over a whole session."""
+"""Retry policy: back-off with jitter, and a retry budget for each session."""
 
 import random
 
@@ -10,28 +10,28 @@
 
     def __init__(self, settings: models.Settings) -> None:
         self._settings = settings
-        self._tries = 0
+        self._attempts = 0
 
     def reset(self) -> None:
-        """Start from the shortest delay again, after progress."""
-        self._tries = 0
+        """Reset to the shortest delay, after an attempt that made progress."""
+        self._attempts = 0
 
     def next_delay(self, retry_after: float = 0.0) -> float:
-        """Return the next delay, never below ``retry_after``.
+        """Return the next delay in seconds, at least ``retry_after``.
 
-        The jitter goes on top of ``retry_after``: callers refused in the same
-        moment would otherwise come back in the same moment.
+        The jitter is added to ``retry_after``: callers that were refused at the same
+        time would otherwise retry at the same time.
         """
-        ceiling = self._settings.backoff_base * 2.0**self._tries
-        self._tries += 1
+        ceiling = self._settings.backoff_base * 2.0**self._attempts
+        self._attempts += 1
         return retry_after + random.uniform(0, min(self._settings.backoff_cap, ceiling))
 
 
 class Budget:
-    """Token bucket: new requests earn fractions of a retry, retries spend one.
+    """Token bucket to which requests add a fraction of a token and retries take one.
 
-    The failure: retries of refused requests multiply the very load that made the
-    instances refuse. With the bucket empty, retries are at most ``budget_ratio``
+    Without it, retries of refused requests would multiply the load that made the
+    instances refuse them. With the bucket empty, retries are at most ``budget_ratio``
     of the new requests, however many fail.
     """
 
@@ -42,15 +42,15 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that may be made now."""
+        """Number of retries available now."""
         return self._tokens
 
     def earn(self) -> None:
-        """Count one new request."""
+        """Add the share of a token that one new request earns."""
         self._tokens = min(self._capacity, self._tokens + self._ratio)
 
     def spend(self) -> bool:
-        """Take one retry; False when none is left."""
+        """Take one token; return False when less than one is left."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/packages/caller/cassiaquay/sessions.py
+++ b/packages/caller/cassiaquay/sessions.py
@@ -1,4 +1,4 @@
-"""A session: addresses, connections, retry budget and hooks kept between requests."""
+"""A session, which shares addresses, connections, retry budget and hooks."""
 
 import asyncio
 import collections.abc
@@ -9,7 +9,7 @@
 
 
 class Session:
-    """Asks services through cassiaquay.
+    """Sends requests to services through cassiaquay.
 
     >>> settings = cassiaquay.Settings(seeds=["127.0.0.1:8101"], credential="secret")
     >>> async with cassiaquay.Session(settings) as session:
@@ -21,7 +21,7 @@
     Parameters
     ----------
     settings : models.Settings
-        All settings, passed whole.
+        Settings of all requests of the session.
     """
 
     def __init__(self, settings: models.Settings) -> None:
@@ -56,16 +56,17 @@
         Parameters
         ----------
         deadline : float, optional
-            Seconds in which the answer is of use; ``settings.timeout`` otherwise.
+            Seconds within which the answer must be complete; by default
+            ``settings.timeout``.
         session : str
-            Requests of one session share a prompt prefix.
+            Name of a group of requests that share a prompt prefix.
         restart : bool
             Allow a second run when the outcome of the first is unknown.
 
         Raises
         ------
         CassiaquayError
-            One of the errors of ``exceptions``; its class says if it ran.
+            An error of ``exceptions``; its class tells whether the request ran.
 
         Examples
         --------
@@ -89,9 +90,9 @@
         idempotent: bool = True,
         restart: bool = True,
     ) -> collections.abc.AsyncGenerator[str, None]:
-        """Yield the texts of an answer as they come; takes what ``ask`` takes.
+        """Yield the texts of an answer as they arrive; takes the options of ``ask``.
 
-        The answer is whole only when the loop ends without an error.
+        The answer is whole only if the iteration ends without an error.
 
         Examples
         --------
@@ -120,7 +121,7 @@
     ) -> models.Answer:
         """Return the whole answer of a plain service.
 
-        With ``idempotent=False`` it runs at most once, whatever fails.
+        With ``idempotent=False`` the request runs at most once, also after failures.
 
         Examples
         --------
@@ -133,42 +134,44 @@
         return await self._run_whole(self._form_request(body, deadline, restart))
 
     async def outcome(self, request_id: str) -> models.Outcome:
-        """Return what became of a request; ``outcome_unknown`` if none can say.
+        """Return the outcome of a request; ``outcome_unknown`` if no instance has it.
 
         Examples
         --------
         >>> (await session.outcome(error.request_id)).outcome
         'completed'
         """
-        return await self._ask_about("GET", request_id, "outcome")
+        return await self._query_request("GET", request_id, "outcome")
 
     async def cancel(self, request_id: str) -> models.Outcome:
-        """Give a request up and return its outcome; waiting work never runs."""
+        """Cancel a request and return its outcome; a waiting request never runs."""
         try:
             async with asyncio.timeout(self.settings.cancel_timeout):
-                return await self._ask_about("POST", request_id, "cancel")
+                return await self._query_request("POST", request_id, "cancel")
         except TimeoutError:
             return models.Outcome(models.OUTCOME_UNKNOWN, "cancel_timeout")
 
     async def is_under_way(self, request_id: str, address: str) -> bool:
-        """Tell whether the instance at ``address`` says that a request goes on."""
+        """Return whether the instance at ``address`` has a request or its outcome."""
         url = f"http://{address}/v1/requests/{request_id}/outcome"
-        told = await self._ask_once(self.form_call("GET", url))
-        return told is not None and (told.state in models.UNDER_WAY or told.is_settled)
+        found = await self._send_query(self.form_call("GET", url))
+        return found is not None and (
+            found.state in models.UNDER_WAY or found.is_settled
+        )
 
     def mount(self, prefix: str, adapter: adapters.BaseAdapter) -> None:
-        """Use ``adapter`` for URLs that start with ``prefix``; the longest wins."""
+        """Use ``adapter`` for URLs with ``prefix``; the longest prefix is used."""
         self._adapters[prefix] = adapter
 
     async def close(self) -> None:
-        """Wait a little for acknowledgements, then close all connections."""
+        """Wait up to ``close_timeout`` for background work, then close connections."""
         if self._background:
-            _, late = await asyncio.wait(
+            _, unfinished = await asyncio.wait(
                 self._background, timeout=self.settings.close_timeout
             )
-            for task in late:
+            for task in unfinished:
                 task.cancel()
-            await asyncio.gather(*late, return_exceptions=True)
+            await asyncio.gather(*unfinished, return_exceptions=True)
         for adapter in set(self._adapters.values()):
             await adapter.close()
 
@@ -178,7 +181,7 @@
         Raises
         ------
         AttemptFailed
-            When no status came or no adapter is mounted.
+            When no status was received or no adapter is mounted for the URL.
         """
         matching = [prefix for prefix in self._adapters if call.url.startswith(prefix)]
         if not matching:
@@ -193,32 +196,34 @@
         return adapters.Call(method, url, headers, body)
 
     def acknowledge_later(self, request_id: str, address: str) -> None:
-        """Tell the instance in the background that it may forget the answer."""
+        """Acknowledge an answer in the background, so that the instance drops it."""
         url = f"http://{address}/v1/requests/{request_id}"
-        self._start(self._exchange_quietly(self.form_call("DELETE", url)))
+        self._start_background(
+            self._send_ignoring_errors(self.form_call("DELETE", url))
+        )
 
     def cancel_later(self, request_id: str, address: str) -> None:
-        """Cancel in the background, for an application that has gone."""
+        """Cancel a request in the background, without waiting for its outcome."""
         url = f"http://{address}/v1/requests/{request_id}/cancel"
-        self._start(self._exchange_quietly(self.form_call("POST", url)))
+        self._start_background(self._send_ignoring_errors(self.form_call("POST", url)))
 
     def drain_later(self, reply: adapters.Reply) -> None:
-        """Read a finished reply to its end, so that its connection is kept."""
-        self._start(_drain(reply, self.settings.close_timeout))
+        """Read a reply to its end in the background, to reuse its connection."""
+        self._start_background(_drain(reply, self.settings.close_timeout))
 
-    def _start(
-        self, work: collections.abc.Coroutine[typing.Any, typing.Any, None]
+    def _start_background(
+        self, call: collections.abc.Coroutine[typing.Any, typing.Any, None]
     ) -> None:
-        # Best effort: instances forget old answers by themselves, so dropping
-        # is harmless, while an unbounded backlog would not be.
+        # Best effort: instances drop old answers by themselves, so a call that isn't
+        # sent does no harm, while an unbounded backlog would.
         if len(self._background) >= self.settings.max_background:
-            work.close()
+            call.close()
             return
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(call)
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    async def _exchange_quietly(self, call: adapters.Call) -> None:
+    async def _send_ignoring_errors(self, call: adapters.Call) -> None:
         try:
             async with asyncio.timeout(self.settings.close_timeout):
                 reply = await self.send(call)
@@ -229,17 +234,18 @@
         except (TimeoutError, exceptions.AttemptFailed):
             return
 
-    async def _ask_about(
+    async def _query_request(
         self, method: str, request_id: str, verb: str
     ) -> models.Outcome:
-        """Ask the owner, then one other address, about a request."""
+        """Return the answer of the owner, or of one other address, about a request."""
         try:
-            return await self._ask_around(method, request_id, verb)
+            return await self._query_instances(method, request_id, verb)
         except exceptions.NoAddress:
-            # As an error it would say of the request that it did not run.
+            # Raised here, NoAddress (a ``NotRun``) would say that the request did not
+            # run, while only its outcome can't be queried.
             return models.Outcome(models.OUTCOME_UNKNOWN, exceptions.NoAddress.code)
 
-    async def _ask_around(
+    async def _query_instances(
         self, method: str, request_id: str, verb: str
     ) -> models.Outcome:
         owner = await self.addresses.find_owner(request_id)
@@ -248,15 +254,15 @@
             if not address:
                 address = (await self.addresses.choose()).address
             url = f"http://{address}/v1/requests/{request_id}/{verb}"
-            told = await self._ask_once(self.form_call(method, url))
-            if told is not None:
-                return told
+            found = await self._send_query(self.form_call(method, url))
+            if found is not None:
+                return found
             self.addresses.report_failure(address)
             address = (await self.addresses.choose(avoid=address)).address
         return models.Outcome(models.OUTCOME_UNKNOWN, "unreachable")
 
-    async def _ask_once(self, call: adapters.Call) -> models.Outcome | None:
-        # Answered without waiting for the request itself, so silence is a fault here.
+    async def _send_query(self, call: adapters.Call) -> models.Outcome | None:
+        # Instances answer this query at once, so a timeout is a fault here.
         try:
             async with asyncio.timeout(self.settings.question_timeout):
                 reply = await self.send(call)
@@ -266,12 +272,12 @@
                     reply.close()
         except (TimeoutError, exceptions.AttemptFailed):
             return None
-        told = models.parse_outcome(raw, reply.status)
-        if told is None or reply.status == 200:
-            return told
-        # A refusal of this question (credential, overload) says ``not_run`` of
-        # itself; taken for the request's outcome it would allow a second run.
-        return told._replace(outcome=models.OUTCOME_UNKNOWN)
+        found = models.parse_outcome(raw, reply.status)
+        if found is None or reply.status == 200:
+            return found
+        # A refusal of this query (credential, overload) has the outcome ``not_run`` of
+        # the query itself. Taken for that of the request, it would allow a second run.
+        return found._replace(outcome=models.OUTCOME_UNKNOWN)
 
     def _form_request(
         self, body: models.RequestBody, deadline: float | None, restart: bool
@@ -284,8 +290,8 @@
         async with contextlib.aclosing(exchange.run()) as events:
             async for _ in events:
                 continue
-        kept = exchange.transcript
-        return models.Answer(exchange.request_id, kept.events, kept.digest)
+        transcript = exchange.transcript
+        return models.Answer(exchange.request_id, transcript.events, transcript.digest)
 
 
 def _form_prompt(
--- a/packages/caller/cassiaquay/streams.py
+++ b/packages/caller/cassiaquay/streams.py
@@ -1,4 +1,4 @@
-"""Answers as server-sent events: parsing, counting and the digest check."""
+"""Answers as server-sent events: parsing, event count and digest check."""
 
 import typing
 
@@ -16,18 +16,18 @@
 
 
 class BrokenStream(Exception):
-    """The bytes are no stream of events in order; the rest can't be used."""
+    """The bytes are not a stream of events in order; the rest is discarded."""
 
 
 class Parser:
-    r"""Cut a byte stream into events.
+    r"""Incremental parser of a byte stream into events.
 
     >>> Parser().feed(b'id: 0\ndata: {"text":"a"}\n\n')
     [Event(kind='', number=0, data='{"text":"a"}')]
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial_line = b""
         self._kind = ""
         self._number = -1
         self._data: list[str] = []
@@ -38,23 +38,23 @@
         Raises
         ------
         BrokenStream
-            For bytes that are not UTF-8 and ids that are no numbers.
+            For bytes that are not UTF-8 and ids that are not numbers.
         """
-        lines = (self._rest + chunk).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._partial_line + chunk).split(b"\n")
+        self._partial_line = lines.pop()
         events = []
         for line in lines:
             try:
-                event = self._take(line.removesuffix(b"\r").decode())
+                event = self._parse_line(line.removesuffix(b"\r").decode())
             except ValueError as error:
                 raise BrokenStream(str(error)) from error
             if event is not None:
                 events.append(event)
         return events
 
-    def _take(self, line: str) -> Event | None:
+    def _parse_line(self, line: str) -> Event | None:
         if not line:
-            return self._finish()
+            return self._complete_event()
         field, _, value = line.partition(":")
         value = value.removeprefix(" ")
         if field == "data":
@@ -65,7 +65,7 @@
             self._number = int(value)
         return None
 
-    def _finish(self) -> Event | None:
+    def _complete_event(self) -> Event | None:
         if not self._data:
             self._kind, self._number = "", -1
             return None
@@ -75,7 +75,7 @@
 
 
 class Transcript:
-    """Events of one request kept so far; a resume asks from ``count``."""
+    """Events of one request received so far; a resumed read starts at ``count``."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -83,16 +83,16 @@
 
     @property
     def count(self) -> int:
-        """Number of events kept."""
+        """Number of events received."""
         return len(self.events)
 
     @property
     def digest(self) -> str:
-        """Hex xxh3-128 digest of the events kept, concatenated as UTF-8."""
+        """Hex xxh3-128 digest of the events' data, concatenated as UTF-8."""
         return self._digest.hexdigest()
 
-    def take(self, event: Event) -> bool:
-        """Keep ``event``; False when it was kept before.
+    def append(self, event: Event) -> bool:
+        """Append ``event``; return False when it was already received.
 
         Raises
         ------
@@ -100,7 +100,7 @@
             When events before this one are missing.
         """
         if event.number < 0 or event.number > self.count:
-            raise BrokenStream(f"event {event.number} after {self.count} events")
+            raise BrokenStream(f"event {event.number} follows {self.count} events")
         if event.number < self.count:
             return False
         self.events.append(event.data)
@@ -108,5 +108,5 @@
         return True
 
     def is_whole(self, count: int, digest: str) -> bool:
-        """Tell whether the events kept are the whole answer."""
+        """Return whether the events match the count and digest of the whole answer."""
         return count == self.count and digest == self.digest
