--- a/packages/schema/cassiaquay_schema/__init__.py
+++ b/packages/schema/cassiaquay_schema/__init__.py
@@ -1,1 +1,1 @@
-"""Messages, settings and the fleet text from one schema, and their checks."""
+"""Generated classes for messages, settings and the fleet text, and their checks."""
--- a/packages/schema/cassiaquay_schema/bodies.py
+++ b/packages/schema/cassiaquay_schema/bodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies of the operators' address, for the daemon that writes and who reads."""
+"""JSON bodies of the operators' interface, shared by the daemon and its clients."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 
 class Health(typing.TypedDict):
-    """Whether an instance is up."""
+    """Readiness of an instance."""
 
     instance: str
     ready: bool
@@ -14,7 +14,7 @@
 
 
 class Instance(typing.TypedDict):
-    """One instance as another one sees it."""
+    """One instance, as another instance knows it by its membership records."""
 
     instance: str
     incarnation: str
@@ -35,7 +35,7 @@
 
 
 class Status(typing.TypedDict):
-    """What one instance does now."""
+    """Current state of one instance."""
 
     instance: str
     incarnation: str
@@ -51,7 +51,7 @@
 
 
 class Server(typing.TypedDict):
-    """One backend server as its keeper sees it."""
+    """One backend server and its usage, as reported by its keeper."""
 
     server: str
     domain: str
@@ -64,7 +64,7 @@
 
 
 class Group(typing.TypedDict):
-    """Waiting requests of one tier and team."""
+    """Waiting requests of one tier and team in a shard."""
 
     shard: str
     tier: str
@@ -74,7 +74,7 @@
 
 
 class Running(typing.TypedDict):
-    """Permits and dispatches of one shard, and the tier that it sheds now, or empty."""
+    """Running requests of one shard, and the tier that it sheds now, or empty."""
 
     shard: str
     running: int
@@ -82,14 +82,14 @@
 
 
 class Queues(typing.TypedDict):
-    """What waits and runs at one keeper."""
+    """Waiting and running requests of one keeper."""
 
     waiting: list[Group]
     running: list[Running]
 
 
 class Configuration(typing.TypedDict):
-    """Configuration in force at one instance."""
+    """Configuration revision in force at one instance, and refused ones."""
 
     revision: int
     pending: int
@@ -97,7 +97,7 @@
 
 
 class Event(typing.TypedDict):
-    """Something that happened at one instance."""
+    """A logged event of one instance."""
 
     at: float
     name: str
@@ -120,7 +120,7 @@
 
 
 class Placement(typing.TypedDict):
-    """What the keeper says of a request."""
+    """The keeper's view of a request: its queue position and each server's state."""
 
     shard: str
     keeper: str
@@ -133,7 +133,7 @@
 
 
 class Explanation(typing.TypedDict):
-    """Which limits, tier, keeper and engine apply to a request, and why."""
+    """The limits, tier, keeper and servers of a request, with the reasons."""
 
     id: str
     state: str
@@ -160,7 +160,7 @@
 
 
 class Count(typing.TypedDict):
-    """Requests in all and good ones."""
+    """Numbers of all requests and of good ones."""
 
     service: str
     tier: str
@@ -171,7 +171,7 @@
 
 
 class Window(typing.TypedDict):
-    """One window of burn at one instance."""
+    """Counts of one error-budget burn window at one instance."""
 
     name: str
     seconds: float
@@ -180,7 +180,7 @@
 
 
 class Point(typing.TypedDict):
-    """One bucket of a series."""
+    """One bucket of a time series."""
 
     age_seconds: float
     service: str
@@ -190,7 +190,7 @@
 
 
 class BurnReport(typing.TypedDict):
-    """All windows of one instance."""
+    """All burn windows of one instance."""
 
     windows: list[Window]
     fast: list[Point]
@@ -199,7 +199,7 @@
 
 
 class Burn(typing.TypedDict):
-    """What one instance counted of its objectives."""
+    """Service-level objectives and the counts of one instance."""
 
     instance: str
     incarnation: str
@@ -210,7 +210,7 @@
 
 
 class Problem(typing.TypedDict, total=False):
-    """A refusal of the operators' address."""
+    """Error body of the operators' interface."""
 
     code: str
     message: str
--- a/packages/schema/cassiaquay_schema/exceptions.py
+++ b/packages/schema/cassiaquay_schema/exceptions.py
@@ -1,17 +1,17 @@
-"""Errors of the schema: settings and fleet texts that are not accepted."""
+"""Errors for settings and fleet texts that are refused."""
 
 
 class SchemaError(Exception):
-    """Root of this package's errors.
+    """Base class of this package's errors.
 
     Parameters
     ----------
     message : str
-        What is wrong.
+        Description of the error.
     place : str
-        Where in the text, as a dotted path.
+        Dotted path of the faulty value in the text.
     accepted : str
-        What would be accepted there.
+        Description of a value that would be accepted there.
     """
 
     code = "schema"
@@ -43,30 +43,30 @@
 
 
 class ReferenceFault(SchemaError):
-    """A name refers to nothing in the text."""
+    """A name refers to an entry that the text does not have."""
 
     code = "text_reference"
 
 
 class CycleFault(SchemaError):
-    """Services depend on each other in a circle."""
+    """The dependencies of services form a cycle."""
 
     code = "text_cycle"
 
 
 class DuplicateFault(SchemaError):
-    """A name or rank stands twice."""
+    """A name, address, rank or credential is used more than once."""
 
     code = "text_duplicate"
 
 
 class LimitFault(SchemaError):
-    """Two values do not fit together."""
+    """A value is outside the limit that another value sets."""
 
     code = "text_limit"
 
 
 class NameFault(SchemaError):
-    """No behaviour is registered under a name."""
+    """A name is not registered in the daemon."""
 
     code = "text_name"
--- a/packages/schema/cassiaquay_schema/generate.py
+++ b/packages/schema/cassiaquay_schema/generate.py
@@ -1,8 +1,8 @@
-"""Generate the modules of messages, settings and the fleet text, and their page.
+"""Generates the modules for messages, settings and the fleet text, and their page.
 
-``python -m cassiaquay_schema.generate`` writes them; with ``--check`` it writes
-nothing and exits 1 when a committed module differs from its definition.
-Needs the development requirements (Jinja2, ruff); the built packages do not.
+``python -m cassiaquay_schema.generate`` writes them. With ``--check`` it writes nothing
+and exits 1 when a file differs from its definition. It needs the development
+requirements (Jinja2 and ruff); the built packages do not.
 """
 
 import pathlib
@@ -75,7 +75,7 @@
 
 TITLES = {
     "settings": "Settings of one daemon process.",
-    "fleet": "The operators' one text of services, pools, tiers and teams.",
+    "fleet": "The fleet text: services, pools, models, tiers and teams.",
 }
 
 
@@ -103,14 +103,14 @@
 
 
 def declare_plain(field: dict[str, typing.Any]) -> str:
-    """Return the declaration of one field of a message, whose lists never change."""
+    """Return the declaration of one message field; list defaults are shared."""
     if field.get("default") == []:
         return f"{field['name']}: {field['type']} = []"
     return declare(field)
 
 
 def render(name: str) -> str:
-    """Return the formatted text of the module generated for one definition."""
+    """Return the formatted source of the module for one definition."""
     source = f"{name}.toml"
     definition = tomllib.loads((DEFINITIONS / source).read_text())
     environment = jinja2.Environment(trim_blocks=True, keep_trailing_newline=True)
@@ -126,15 +126,15 @@
     for arguments in (["check", "--fix-only", "--quiet"], ["format", "--quiet"]):
         command = [sys.executable, "-m", "ruff", *arguments]
         command += ["--stdin-filename", str(HERE / f"{name}_generated.py"), "-"]
-        done = subprocess.run(
+        completed = subprocess.run(
             command, input=text, capture_output=True, text=True, check=True
         )
-        text = done.stdout
+        text = completed.stdout
     return text
 
 
 def main(arguments: list[str]) -> int:
-    """Write or check the generated modules and the page."""
+    """Write or check the generated modules and the page; return the exit status."""
     fleet = tomllib.loads((DEFINITIONS / "fleet.toml").read_text())
     settings = tomllib.loads((DEFINITIONS / "settings.toml").read_text())
     texts = {PAGE: page.render(fleet, settings)}
--- a/packages/schema/cassiaquay_schema/messages.py
+++ b/packages/schema/cassiaquay_schema/messages.py
@@ -7,7 +7,7 @@
 
 
 class Hello(typing.NamedTuple):
-    """First frame of both sides: who speaks, and a nonce to be authenticated.
+    """First frame of both sides: identifies the sender and carries a nonce.
 
     Attributes
     ----------
@@ -16,9 +16,9 @@
     instance : str
         Name of the sender.
     incarnation : str
-        Random name of this life of the sender's process.
+        Random name of this run of the sender's process.
     nonce : bytes
-        What the other side must authenticate.
+        Random bytes that the receiver must authenticate.
     """
 
     version: int
@@ -33,21 +33,21 @@
     Attributes
     ----------
     mac : bytes
-        HMAC-SHA256 by a shared key.
+        HMAC-SHA256 with a shared key.
     """
 
     mac: bytes
 
 
 class Member(typing.NamedTuple):
-    """What all instances know of one. A new fact of it has a higher sequence.
+    """Facts about one instance; each change has a higher sequence.
 
     Attributes
     ----------
     instance : str
-        Name.
+        Name of the instance.
     incarnation : str
-        Life of its process.
+        Random name of this run of its process.
     domain : str
         Failure domain.
     http : str
@@ -55,19 +55,19 @@
     peer : str
         host:port for instances.
     sequence : int
-        Grows with each new fact that this incarnation tells of itself.
+        Increases with each change that this incarnation publishes about itself.
     leaving : bool
-        It shuts down gracefully.
+        Whether it is shutting down gracefully.
     load : float
-        Open requests, coarsely, for the spread of callers.
+        Open requests, rounded coarsely, to distribute callers by.
     revision : int
-        Configuration revision in force there when this was told; 0 before it may serve.
+        Configuration revision in force there; 0 before it may serve.
     born : float
-        Wall-clock second of its start; orders the incarnations of one instance.
+        Wall-clock second of its start; orders the incarnations of an instance.
     admin : str
         host:port for operators.
     uptime : float
-        Seconds on its own clock since its start, when this was sent on.
+        Seconds since its start, on its own clock, when this was forwarded.
     """
 
     instance: str
@@ -85,34 +85,34 @@
 
 
 class Heartbeat(typing.NamedTuple):
-    """The sender is alive; with it, what the receiver has not yet been told of.
+    """The sender is alive; carries facts that the receiver may lack.
 
     Attributes
     ----------
     number : int
-        Counts the sender's heartbeats.
+        Number of the heartbeat, counted by the sender.
     revision : int
-        Configuration revision in force there.
+        Configuration revision in force at the sender.
     digest : int
         xxh3-64 of that configuration's text.
     members : list[Member]
-        New facts, the sender's own among them.
+        New facts about members, including the sender.
     suspicions : list[Suspicion]
         New suspicions.
     table : int
-        Digest of all facts and suspicions that the sender has.
+        Digest of all facts and suspicions in the sender's table.
     servers_revision : int
-        Revision of the list of backend servers there; 0 for none.
+        Revision of the sender's list of backend servers; 0 for none.
     servers_age_ms : int
-        Time since the platform confirmed that list.
+        Time since the platform last confirmed that list.
     servers_digest : int
-        xxh3-64 of what decides about the use of those servers.
+        xxh3-64 of the fields that decide about the use of those servers.
     sent_ms : int
-        When it was sent, on the sender's steady clock; 0 where it does not say.
+        Time of sending on the sender's monotonic clock; 0 if not given.
     servers_steady_ms : int
-        For how long that list has been confirmed there without a gap.
+        Time for which the sender has confirmed that list without a gap.
     crashes_digest : int
-        xxh3-64 of what is known of requests that crash servers; 0 for nothing.
+        xxh3-64 of the sender's reports of requests that crash servers; 0 for none.
     """
 
     number: int
@@ -130,12 +130,12 @@
 
 
 class ConfigurationQuery(typing.NamedTuple):
-    """Ask for the configuration when newer than what the sender has.
+    """Requests the configuration if it is newer than that of the sender.
 
     Attributes
     ----------
     revision : int
-        Revision that the sender has.
+        Revision in force at the sender.
     digest : int
         xxh3-64 of its text.
     """
@@ -145,12 +145,12 @@
 
 
 class ConfigurationText(typing.NamedTuple):
-    """A configuration text with its place in the platform's order.
+    """A configuration text with its revision.
 
     Attributes
     ----------
     revision : int
-        Revision of the platform.
+        Revision at the platform.
     text : str
         The fleet text.
     """
@@ -160,7 +160,7 @@
 
 
 class Demand(typing.NamedTuple):
-    """One waiting request asks the keeper for capacity. Bodies stay at the owner.
+    """Request to the keeper for capacity for one waiting request, without its body.
 
     Attributes
     ----------
@@ -173,7 +173,7 @@
     team : str
         Team.
     rank : int
-        Rank of the tier, 0 is the most important.
+        Rank of the tier; 0 is the most important.
     prompt_tokens : int
         Estimated tokens of the prompt.
     output_tokens : int
@@ -185,21 +185,21 @@
     blocks : list[int]
         Chained hashes of the prompt's prefix blocks.
     avoid : list[str]
-        Backend servers that just refused a connection.
+        Backend servers that recently refused a connection.
     block_count : int
-        Full prefix blocks of the prompt; says which of them `blocks` are.
+        Full prefix blocks of the prompt; locates `blocks` among them.
     first_ms : int
-        Time left before the first event is late; 0 where only the deadline counts.
+        Time left until the first event is late; 0 if only the deadline counts.
     pause_ms : int
-        Longest pause between events that is still on time; 0 where there are no events.
+        Maximum pause between events that is on time; 0 without events.
     parts : list[PromptPart]
-        Parts of the prompt in order, where the caller names them.
+        Parts of the prompt in order, if the caller names them.
     tried : list[str]
-        Backend servers that had it already and are to be left out.
+        Backend servers that already had the request and are excluded.
     acknowledge : bool
-        Whether the owner wants to hear that the demand is in the queue.
+        Whether the keeper should confirm that the demand is queued.
     moves : int
-        How often it was moved to another shard.
+        Number of times that it was moved to another shard.
     """
 
     id: str
@@ -223,12 +223,12 @@
 
 
 class PromptPart(typing.NamedTuple):
-    """One part of a prompt that other requests may share.
+    """One part of a prompt, which other requests may share.
 
     Attributes
     ----------
     key : int
-        Hash of the model, of all parts before it and of this one.
+        Hash of the model, of all earlier parts and of this one.
     tokens : int
         Tokens of this part.
     """
@@ -238,7 +238,7 @@
 
 
 class Permit(typing.NamedTuple):
-    """The owner may dispatch this request to this backend server, once, soon.
+    """Allows the owner to dispatch a request once, within its lifetime, to a server.
 
     Attributes
     ----------
@@ -247,7 +247,7 @@
     server : str
         Backend server.
     lifetime_ms : int
-        Time in which the dispatch must begin.
+        Time within which the dispatch must begin.
     shard : str
         Pool and number of the shard.
     """
@@ -259,16 +259,16 @@
 
 
 class Shed(typing.NamedTuple):
-    """The keeper gives the request up; the owner answers `not_run`.
+    """The keeper drops a demand; the owner answers the caller `not_run`.
 
     Attributes
     ----------
     id : str
         Request id.
     code : str
-        Stable code of the reason.
+        Error code of the reason.
     retry_after_ms : int
-        When it is worth asking again.
+        Time after which a retry may succeed.
     """
 
     id: str
@@ -277,7 +277,7 @@
 
 
 class Withdraw(typing.NamedTuple):
-    """The owner takes a demand back, or a permit that it did not use.
+    """The owner cancels a demand, or returns a permit that it did not use.
 
     Attributes
     ----------
@@ -292,7 +292,7 @@
 
 
 class Release(typing.NamedTuple):
-    """A dispatched request has ended; its capacity is free, its figures are known.
+    """A dispatched request has ended; returns its capacity and reports its usage.
 
     Attributes
     ----------
@@ -303,17 +303,17 @@
     server : str
         Backend server.
     outcome : str
-        How it ended.
+        Outcome of the request.
     prompt_tokens : int
         Tokens of the prompt, as the server counted them.
     cached_tokens : int
-        Of these, read from its prefix cache.
+        Prompt tokens read from the server's prefix cache.
     output_tokens : int
         Tokens of the answer.
     first_ms : float
-        From dispatch to the first event.
+        Time from dispatch to the first event.
     total_ms : float
-        From dispatch to the end.
+        Time from dispatch to the end.
     """
 
     id: str
@@ -347,7 +347,7 @@
     output_tokens : int
         Estimated tokens of the answer.
     produced : int
-        Tokens of the answer that the owner has so far.
+        Tokens of the answer received by the owner so far.
     """
 
     id: str
@@ -361,14 +361,14 @@
 
 
 class Renewal(typing.NamedTuple):
-    """All outstanding requests of the sender in one shard: renews their leases.
+    """Renews the leases of the sender's outstanding requests in one shard.
 
     Attributes
     ----------
     shard : str
         Pool and number of the shard, as in `tutor#0`.
     outstanding : list[Outstanding]
-        All of them.
+        All outstanding requests of the sender in the shard.
     """
 
     shard: str
@@ -376,14 +376,14 @@
 
 
 class NotKeeper(typing.NamedTuple):
-    """The receiver of a demand is not the keeper, as far as it knows.
+    """Answer to a demand whose receiver does not consider itself the keeper.
 
     Attributes
     ----------
     id : str
         Request id.
     keeper : str
-        Instance that the sender takes for the keeper, or empty.
+        Instance that the sender considers the keeper, or empty.
     """
 
     id: str
@@ -391,7 +391,7 @@
 
 
 class RenewalQuery(typing.NamedTuple):
-    """A new keeper asks what the receiver has outstanding in a shard.
+    """A new keeper requests the receiver's outstanding requests in a shard.
 
     Attributes
     ----------
@@ -403,7 +403,7 @@
 
 
 class Step(typing.NamedTuple):
-    """One request's dispatch, or its first event.
+    """The dispatch of one request, or its first event.
 
     Attributes
     ----------
@@ -412,9 +412,9 @@
     server : str
         Backend server.
     started : bool
-        Whether the first event is there; the prompt has then been read.
+        Whether the first event has arrived, so that the prompt is processed.
     age_ms : float
-        How long ago it was when this was sent.
+        Time since the step, when this was sent.
     """
 
     id: str
@@ -424,14 +424,14 @@
 
 
 class Progress(typing.NamedTuple):
-    """Permits put to use and prompts read since the last of these.
+    """Dispatches and first events since the last message of this type.
 
     Attributes
     ----------
     shard : str
         Pool and number of the shard.
     steps : list[Step]
-        In the order in which they happened.
+        Steps in the order in which they occurred.
     """
 
     shard: str
@@ -439,16 +439,16 @@
 
 
 class Suspicion(typing.NamedTuple):
-    """No watcher hears an instance; a fact of it with a higher sequence refutes this.
+    """No watcher receives heartbeats of an instance; a newer fact of it refutes this.
 
     Attributes
     ----------
     instance : str
-        Name.
+        Name of the suspected instance.
     born : float
         Start of the suspected incarnation.
     sequence : int
-        Newest sequence known of it.
+        Highest known sequence of its facts.
     """
 
     instance: str
@@ -457,36 +457,36 @@
 
 
 class Probe(typing.NamedTuple):
-    """Asks whether the receiver hears an instance that the sender no longer hears.
+    """Asks whether the receiver gets heartbeats of an instance that the sender misses.
 
     Attributes
     ----------
     instance : str
-        Name.
+        Name of that instance.
     """
 
     instance: str
 
 
 class Heard(typing.NamedTuple):
-    """Answer to a probe: the sender of this hears that instance directly.
+    """Answer to a probe: the sender receives heartbeats of the instance directly.
 
     Attributes
     ----------
     instance : str
-        Name.
+        Name of the instance.
     """
 
     instance: str
 
 
 class Refresh(typing.NamedTuple):
-    """The sender has just started or was paused, and asks what is true now.
+    """Requests the current state after a start or a pause of the sender.
 
     Attributes
     ----------
     number : int
-        Names the question; an answer to an older one is too old.
+        Number of the query; answers to earlier queries are ignored.
     """
 
     number: int
@@ -498,7 +498,7 @@
     Attributes
     ----------
     number : int
-        Of the question.
+        Number of the query.
     revision : int
         Configuration revision in force at the sender.
     digest : int
@@ -514,22 +514,22 @@
 
 
 class ConfigurationChange(typing.NamedTuple):
-    """A configuration text told as one replaced part of the text that the receiver has.
+    """A configuration text as one replaced range of a text the receiver has.
 
     Attributes
     ----------
     revision : int
-        Revision of the platform.
+        Revision at the platform.
     digest : int
         xxh3-64 of the new text.
     base : int
-        xxh3-64 of the text that is changed.
+        xxh3-64 of the text to change.
     start : int
-        First replaced character.
+        Index of the first replaced character.
     end : int
-        First character after the replaced part.
+        Index of the first character after the replaced range.
     part : str
-        What stands there now.
+        Text that replaces the range.
     """
 
     revision: int
@@ -541,18 +541,18 @@
 
 
 class LimitQuery(typing.NamedTuple):
-    """An owner asks the keeper of a limit for permits; it renews those that it holds.
+    """Requests permits from the keeper of a limit and renews those already held.
 
     Attributes
     ----------
     key : str
-        What is limited, as in `team questions`.
+        Key of the limit, as in `team questions`.
     needed : int
-        Requests that wait for it.
+        Number of requests that wait for the limit.
     wanted : int
-        Permits of the rate that are welcome, a chunk.
+        Preferred number of permits of the rate, as one chunk.
     held : int
-        Requests that run under it.
+        Number of requests that run under the limit.
     """
 
     key: str
@@ -562,18 +562,18 @@
 
 
 class LimitPermits(typing.NamedTuple):
-    """Permits of a limit, the answer to a query.
+    """Permits of a limit, in answer to a query.
 
     Attributes
     ----------
     key : str
-        What is limited.
+        Key of the limit.
     permits : int
-        How many, perhaps fewer than needed, perhaps 0.
+        Number of permits; may be fewer than needed, or 0.
     lifetime_ms : int
-        Time in which they must be used.
+        Time within which they must be used.
     retry_after_ms : int
-        When the next one is to be had.
+        Time until the next permit is available.
     """
 
     key: str
@@ -583,14 +583,14 @@
 
 
 class LimitReturn(typing.NamedTuple):
-    """Requests under a limit of concurrency have ended.
+    """Reports that requests under a limit of concurrency have ended.
 
     Attributes
     ----------
     key : str
-        What is limited.
+        Key of the limit.
     held : int
-        Requests that still run under it.
+        Number of requests that still run under the limit.
     """
 
     key: str
@@ -598,7 +598,7 @@
 
 
 class HealthQuery(typing.NamedTuple):
-    """An owner asks the keeper of a shard whether requests get through there.
+    """An owner asks the keeper of a shard whether it sheds requests.
 
     Attributes
     ----------
@@ -610,16 +610,16 @@
 
 
 class Health(typing.NamedTuple):
-    """What gets through a shard.
+    """Health of a shard: which ranks it refuses now.
 
     Attributes
     ----------
     shard : str
         Pool and number of the shard.
     floor : int
-        Rank that is refused, with all below it; -1 for none.
+        Rank from which on requests are refused; -1 for none.
     retry_after_ms : int
-        When it is worth asking again.
+        Time after which a retry may succeed.
     """
 
     shard: str
@@ -628,18 +628,18 @@
 
 
 class Floor(typing.NamedTuple):
-    """A shard is about to shed a tier: the receiver's shard holds the lower ones back.
+    """Sent before a shard sheds a tier: the receiver's shard holds lower tiers back.
 
     Attributes
     ----------
     shard : str
-        Shard that holds back, kept by the receiver.
+        Shard that holds requests back; its keeper is the receiver.
     source : str
         Shard that is about to shed.
     rank : int
         Rank that it sheds.
     hold_ms : int
-        How long lower ranks get no grant.
+        Time for which lower ranks get no grant.
     """
 
     shard: str
@@ -649,14 +649,14 @@
 
 
 class FloorHeld(typing.NamedTuple):
-    """Answer to a floor: from now on the lower ranks are held back there.
+    """Answer to a floor: the shard now holds lower ranks back.
 
     Attributes
     ----------
     shard : str
-        Shard that holds back.
+        Shard that holds requests back.
     source : str
-        Shard that asked.
+        Shard that requested it.
     rank : int
         Rank of the floor.
     """
@@ -667,16 +667,16 @@
 
 
 class Moved(typing.NamedTuple):
-    """A demand cannot be in time in its shard; the owner asks another one of the pool.
+    """A demand would be late in its shard; the owner sends it to another of the pool.
 
     Attributes
     ----------
     id : str
         Request id.
     shard : str
-        Shard that has it no more.
+        Shard that dropped the demand.
     target : str
-        Shard to ask.
+        Shard to send the demand to.
     """
 
     id: str
@@ -685,16 +685,16 @@
 
 
 class RankWait(typing.NamedTuple):
-    """How long a new demand of a rank would wait in a shard.
+    """Estimated wait of a new demand of one rank in a shard.
 
     Attributes
     ----------
     rank : int
         Rank.
     wait_ms : float
-        Wait of the next one.
+        Wait of the next demand.
     step_ms : float
-        Additional wait of each one after it.
+        Additional wait of each further demand.
     """
 
     rank: int
@@ -703,14 +703,14 @@
 
 
 class Waits(typing.NamedTuple):
-    """What demands would wait in a shard, told to the keepers of its pool's other ones.
+    """Estimated waits in a shard, sent to the keepers of its pool's other shards.
 
     Attributes
     ----------
     shard : str
         Pool and number of the shard.
     waits : list[RankWait]
-        By rank.
+        Waits by rank.
     """
 
     shard: str
@@ -718,7 +718,7 @@
 
 
 class Queued(typing.NamedTuple):
-    """The keeper has a demand and decides on it later.
+    """Acknowledges that the keeper has queued a demand.
 
     Attributes
     ----------
@@ -733,28 +733,28 @@
 
 
 class ServerEntry(typing.NamedTuple):
-    """A backend server as it registered itself.
+    """A backend server, as it registered itself at the platform.
 
     Attributes
     ----------
     name : str
-        Its id.
+        Id of the server.
     service : str
-        Service that it serves.
+        Service that the server belongs to.
     address : str
         host:port.
     domain : str
         Failure domain.
     slots : int
-        Requests at a time.
+        Maximum number of concurrent requests.
     leaving : bool
-        It takes no new work.
+        Whether it accepts no new requests.
     started_ms : int
-        Unix millisecond of its start; 0 where it does not say.
+        Unix time of its start in milliseconds; 0 if not given.
     revision : int
         Revision of the entry.
     cold_ms : int
-        Time that it stays cold, when the entry was written; 0 when warm.
+        Remaining cold time when the entry was written; 0 when warm.
     """
 
     name: str
@@ -769,7 +769,7 @@
 
 
 class ServerList(typing.NamedTuple):
-    """All backend servers that registered, as read from the platform.
+    """All registered backend servers, as read from the platform.
 
     Attributes
     ----------
@@ -778,11 +778,11 @@
     age_ms : int
         Time since the read.
     entries : list[ServerEntry]
-        The servers.
+        Registered servers.
     evacuated : list[str]
-        Failure domains whose servers get no new work.
+        Failure domains whose servers get no new requests.
     evacuated_revision : int
-        Revision of the platform at which those were read.
+        Revision of the platform at which `evacuated` was read.
     """
 
     revision: int
@@ -793,30 +793,30 @@
 
 
 class ServerListQuery(typing.NamedTuple):
-    """Ask for the list of backend servers when newer than the sender's.
+    """Requests the list of backend servers if it is newer than that of the sender.
 
     Attributes
     ----------
     revision : int
-        Revision that the sender has.
+        Revision of the sender's list.
     """
 
     revision: int
 
 
 class QuotaQuery(typing.NamedTuple):
-    """An owner needs more of a team's limit than its own share.
+    """Requests units of a team's limit beyond the share of the sender.
 
     Attributes
     ----------
     number : int
-        Counts the sender's questions.
+        Number of the query, counted by the sender.
     team : str
         Team.
     units : int
-        What the request counts.
+        Units that the request uses.
     patience_ms : int
-        How long the request may wait for room.
+        Time for which the request may wait for units.
     """
 
     number: int
@@ -826,16 +826,16 @@
 
 
 class QuotaAnswer(typing.NamedTuple):
-    """Answer of the limit's keeper.
+    """Answer of the limit's keeper to a quota query.
 
     Attributes
     ----------
     number : int
-        Number of the question.
+        Number of the query.
     units : int
-        What was given; 0 for none.
+        Units granted; 0 for none.
     wait_ms : int
-        When to use it, or, where nothing was given, to ask again.
+        Time until the units may be used or, without units, until a new query.
     """
 
     number: int
@@ -844,26 +844,26 @@
 
 
 class QuotaReturn(typing.NamedTuple):
-    """A request that was given units of a team's limit was refused before it ran.
+    """Returns units of a team's limit whose request was refused before it ran.
 
     Attributes
     ----------
     number : int
-        Number of the question that they were given for.
+        Number of the query for which they were granted.
     """
 
     number: int
 
 
 class CrashReport(typing.NamedTuple):
-    """A request that was on servers when they crashed.
+    """A request that was running on servers when they crashed.
 
     Attributes
     ----------
     content : str
         Digest of method, host, path, caller and body.
     servers : list[str]
-        Servers, by their starts, that crashed while they ran it.
+        Crashed servers that ran it, identified by their starts.
     cleared : bool
         Whether a server has completed it, so that it is not the cause.
     age_ms : int
@@ -877,12 +877,12 @@
 
 
 class CrashReports(typing.NamedTuple):
-    """What the sender knows of requests that crash servers.
+    """The sender's reports of requests that crash servers.
 
     Attributes
     ----------
     reports : list[CrashReport]
-        Requests.
+        Reports by request.
     """
 
     reports: list[CrashReport]
--- a/packages/schema/cassiaquay_schema/places.py
+++ b/packages/schema/cassiaquay_schema/places.py
@@ -1,7 +1,7 @@
-"""Where in a text a value is that does not fit the schema.
+"""Locates values of a text that do not fit the schema.
 
-msgspec names the entries of a table ``[...]``; people need the key. The entry is found
-by converting the entries one by one, only after the whole has been refused.
+msgspec reports entries of a table as ``[...]``, without their key. After it has refused
+a text, the key of the faulty entry is found by converting the entries one by one.
 """
 
 import re
@@ -19,7 +19,7 @@
 
 
 class Fault(typing.NamedTuple):
-    """A value that does not fit: what is wrong, where, and what would do."""
+    """The error of a value, its dotted path and a description of accepted values."""
 
     message: str
     place: str
@@ -27,67 +27,77 @@
 
 
 def fault(error: msgspec.ValidationError, values: object, shape: type) -> Fault:
-    """Return what an error of msgspec means for the text that ``values`` came from."""
-    message, place = _split(error)
-    place = _named(place, values, shape)
+    """Return the fault that an error of msgspec describes.
+
+    Parameters
+    ----------
+    error : msgspec.ValidationError
+        Error of the conversion of ``values`` to ``shape``.
+    values : object
+        The decoded text.
+    shape : type
+        Class that the text should fit.
+    """
+    message, place = _split_path(error)
+    place = _fill_in_keys(place, values, shape)
     accepted = ""
     keyed = KEYED.match(message)
     if message.startswith("Expected "):
         accepted = message.removeprefix("Expected ").split(", got")[0]
     elif keyed is not None:
-        kind = _kind(place, shape)
-        place = _join(place, _quoted(keyed["key"]))
-        accepted = f"the keys {', '.join(_keys(kind))}"
+        kind = _type_at(place, shape)
+        place = _join_path(place, _quote_key(keyed["key"]))
+        accepted = f"the keys {', '.join(_list_keys(kind))}"
     return Fault(message, place, accepted or "see docs/CONFIGURATION.md")
 
 
 def shape_fault(
     error: msgspec.ValidationError, values: object, shape: type
 ) -> exceptions.ShapeFault:
-    """Return the schema's error for an error of msgspec."""
+    """Return the ShapeFault for an error of msgspec."""
     return exceptions.ShapeFault(*fault(error, values, shape))
 
 
-def _split(error: msgspec.ValidationError) -> tuple[str, str]:
+def _split_path(error: msgspec.ValidationError) -> tuple[str, str]:
     match = MESSAGE.match(str(error))
     if match is None:
         return str(error), ""
     return match["message"], (match["place"] or "").lstrip(".")
 
 
-def _named(place: str, values: object, shape: typing.Any) -> str:
-    """Return a place with each ``[...]`` replaced by the key of the faulty entry."""
+def _fill_in_keys(place: str, values: object, shape: typing.Any) -> str:
+    """Return a path with each ``[...]`` replaced by the key of the faulty entry."""
     head, mark, _ = place.partition(ANY_ENTRY)
     if not mark:
         return place
     kind = shape
     value = values
     for step in STEP.findall(head):
-        kind = _inside(kind, step)
-        value = _value(value, step)
-    item_kind = typing.get_args(_plain(kind))[1]
+        kind = _type_of_step(kind, step)
+        value = _value_of_step(value, step)
+    item_kind = typing.get_args(_strip_annotations(kind))[1]
     if not isinstance(value, dict):
         return place
     for key, item in value.items():
         try:
             msgspec.convert(item, item_kind)
         except msgspec.ValidationError as error:
-            inner = _named(_split(error)[1], item, item_kind)
-            return _join(_join(head, _quoted(key)), inner)
+            inner = _fill_in_keys(_split_path(error)[1], item, item_kind)
+            return _join_path(_join_path(head, _quote_key(key)), inner)
     return place
 
 
-def _kind(place: str, shape: typing.Any) -> typing.Any:
-    """Return the type at a place that names its keys."""
+def _type_at(place: str, shape: typing.Any) -> typing.Any:
+    """Return the type at a path that contains no ``[...]``."""
     kind = shape
     for step in STEP.findall(place):
-        kind = _inside(kind, step.strip('"'))
+        kind = _type_of_step(kind, step.strip('"'))
     return kind
 
 
-def _inside(kind: typing.Any, step: str) -> typing.Any:
-    """Return the type one step further in."""
-    kind = _plain(kind)
+def _type_of_step(kind: typing.Any, step: str) -> typing.Any:
+    """Return the type of a field, entry or list item of ``kind``."""
+    kind = _strip_annotations(kind)
     arguments = typing.get_args(kind)
     if step.startswith("["):
         return arguments[0]
@@ -96,7 +106,7 @@
     return typing.get_type_hints(kind, include_extras=True)[step]
 
 
-def _value(value: object, step: str) -> object:
+def _value_of_step(value: object, step: str) -> object:
     if step.startswith("[") and isinstance(value, list):
         return value[int(step[1:-1])]
     if isinstance(value, dict):
@@ -104,20 +114,20 @@
     return None
 
 
-def _plain(kind: typing.Any) -> typing.Any:
-    """Return a type without its annotations."""
+def _strip_annotations(kind: typing.Any) -> typing.Any:
+    """Return a type without its ``typing.Annotated`` wrapper."""
     if typing.get_origin(kind) is typing.Annotated:
         return typing.get_args(kind)[0]
     return kind
 
 
-def _keys(kind: typing.Any) -> list[str]:
-    return [item.name for item in msgspec.structs.fields(_plain(kind))]
+def _list_keys(kind: typing.Any) -> list[str]:
+    return [item.name for item in msgspec.structs.fields(_strip_annotations(kind))]
 
 
-def _quoted(key: str) -> str:
+def _quote_key(key: str) -> str:
     return key if BARE_KEY.match(key) else f'"{key}"'
 
 
-def _join(place: str, rest: str) -> str:
+def _join_path(place: str, rest: str) -> str:
     return f"{place}.{rest}" if place and rest else place or rest
--- a/packages/schema/cassiaquay_schema/registry.py
+++ b/packages/schema/cassiaquay_schema/registry.py
@@ -1,4 +1,4 @@
-"""A registry that decorators fill, for behaviour that varies."""
+"""Registries of named implementations, filled by decorators."""
 
 import collections.abc
 import typing
@@ -7,12 +7,12 @@
 
 
 class Registry(typing.Generic[Item]):
-    """Things of one kind by name.
+    """Implementations of one kind, by name.
 
     Parameters
     ----------
     kind : str
-        What is registered, for messages.
+        Kind of the registered items, for error messages.
 
     Examples
     --------
@@ -39,7 +39,7 @@
         return add
 
     def get(self, name: str) -> Item:
-        """Return what is registered; raise LookupError naming what there is."""
+        """Return the item with a name; raise LookupError that lists all names."""
         if name not in self._items:
             known = ", ".join(sorted(self._items))
             raise LookupError(f"no {self._kind} {name!r}; there are: {known}")
--- a/packages/schema/cassiaquay_schema/settings.py
+++ b/packages/schema/cassiaquay_schema/settings.py
@@ -7,7 +7,7 @@
 
 
 class Platform(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Where the platform is and how it is spoken to.
+    """Addresses and adapters of the platform services.
 
     Attributes
     ----------
@@ -20,13 +20,13 @@
     instances_adapter : str
         Adapter of the instance list.
     watch_seconds : float
-        Longest wait of one watch call.
+        Maximum wait of one watch call.
     instances_period : float
         Seconds between two reads of the instance list.
     text_format : str
-        Registered format of the published configuration.
+        Registered name of the format of the published configuration.
     servers : str
-        host:port of the store where backend servers register, if they do.
+        host:port of the store where backend servers register; empty without one.
     servers_adapter : str
         Adapter of that store.
     servers_seconds : float
@@ -46,22 +46,22 @@
 
 
 class Membership(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Heartbeats and suspicion.
+    """Heartbeats and failure detection.
 
     Attributes
     ----------
     neighbours : int
-        Instances that get heartbeats directly.
+        Number of instances that heartbeats are sent to directly.
     period : float
         Seconds between heartbeats.
     suspect_after : float
-        Seconds without news before a member is suspected.
+        Seconds without heartbeats until a member is suspected.
     forget_after : float
-        Seconds after a suspicion before a member is taken for dead.
+        Seconds from the suspicion until a member is considered failed.
     spread_bytes : int
-        Bytes of facts on members told in a second, to all neighbours together.
+        Bytes of member facts sent per second, over all neighbours.
     refresh_seconds : float
-        Longest wait for the platform and neighbours at the start and after a pause.
+        Maximum wait for platform and neighbours after a start or a pause.
     """
 
     neighbours: typing.Annotated[int, msgspec.Meta(ge=1)] = 8
@@ -78,25 +78,25 @@
     Attributes
     ----------
     token_seconds : float
-        Life of an address token.
+        Lifetime of an address token.
     keep_seconds : float
-        How long callers keep an address answer.
+        Time for which callers cache an address list.
     answer_seconds : float
-        How long an unacknowledged answer is kept.
+        Time for which an unacknowledged answer is kept.
     max_entries : int
-        Entries in the table.
+        Maximum number of requests in the table.
     max_waiting : int
-        Requests that wait for a permit.
+        Maximum number of requests that wait for a permit.
     max_body_bytes : int
-        Largest body of a request.
+        Maximum size of a request body.
     max_answer_bytes : int
-        Memory for kept answers.
+        Maximum memory for kept answers.
     max_closed : int
-        Ids of ended requests that are kept until their tokens expire.
+        Maximum number of ids of ended requests kept until their tokens expire.
     body_seconds : float
-        Longest time that the body of a request may take to arrive.
+        Maximum time until the body of a request has arrived.
     disconnect_grace : float
-        Seconds that a waiting request outlives its caller's connection.
+        Seconds until a waiting request is cancelled after its caller disconnects.
     """
 
     token_seconds: typing.Annotated[float, msgspec.Meta(gt=0)] = 60.0
@@ -112,26 +112,26 @@
 
 
 class Keeper(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Admission to the pools whose keeper this instance is.
+    """Admission to the shards whose keeper is this instance.
 
     Attributes
     ----------
     permit_ms : int
-        Life of an unused permit.
+        Lifetime of an unused permit.
     lease_seconds : float
-        Life of an outstanding request without renewal.
+        Lifetime of an outstanding request without a renewal.
     renew_seconds : float
-        Period of renewals by owners.
+        Interval at which owners renew leases.
     max_queue : int
-        Demands in one shard's queue.
+        Maximum number of demands in the queue of a shard.
     policy : str
-        Registered policy that orders and places demands.
+        Registered name of the policy that orders and places demands.
     start_tokens : int
-        Tokens in flight allowed on an engine not yet known.
+        Initial limit of tokens in flight of an engine without measurements.
     cold_excess : float
-        Times its rate that a cold server may get in a second.
+        Multiple of its cold rate that a cold server may get within a second.
     cold_slack : float
-        Requests that it may get in a second besides.
+        Requests that a cold server may get in addition to that.
     """
 
     permit_ms: typing.Annotated[int, msgspec.Meta(ge=50)] = 1500
@@ -145,16 +145,16 @@
 
 
 class Orders(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Orders to engines.
+    """Model loads and other orders to engines.
 
     Attributes
     ----------
     period : float
-        Seconds between two looks at the engines.
+        Seconds between two checks of the engines.
     loads_at_once : int
-        Loads of one model at a time in the whole fleet.
+        Maximum number of concurrent loads of one model in the whole fleet.
     drain_seconds : float
-        Longest wait for an engine's requests before a load is ordered.
+        Maximum wait for an engine to drain before a load is ordered.
     repeat_seconds : float
         Seconds until an order without effect is repeated; longer than a load.
     """
@@ -166,14 +166,14 @@
 
 
 class Logs(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Log lines.
+    """Log output.
 
     Attributes
     ----------
     format : typing.Literal['pairs', 'json']
-        One line of key=value pairs, or of JSON, an event.
+        Format of a line, which is one event: key=value pairs or JSON.
     level : typing.Literal['DEBUG', 'INFO', 'WARNING', 'ERROR']
-        Lowest level written.
+        Lowest level that is written.
     """
 
     format: typing.Literal["pairs", "json"] = "pairs"
@@ -181,18 +181,18 @@
 
 
 class Reports(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What an instance keeps in memory for operators.
+    """Data that an instance keeps in memory for operators.
 
     Attributes
     ----------
     history : int
-        Recent events and refusals kept.
+        Number of recent events and refusals to keep.
     heaviest_teams : int
-        Teams named one by one in metrics and burn; the rest is `other`.
+        Teams with an own label in metrics and burn; others count as `other`.
     burn_scale : float
-        Factor on the burn windows of 5 min, 1 h, 6 h and 3 d; below 1 for trials.
+        Factor on the burn windows of 5 min, 1 h, 6 h and 3 d; below 1 in trials.
     burn_max_cells : int
-        Counters in one bucket of a burn window; what is past them goes to `other`.
+        Maximum counters per bucket of a burn window; others count as `other`.
     """
 
     history: typing.Annotated[int, msgspec.Meta(ge=1)] = 500
@@ -202,36 +202,36 @@
 
 
 class Gateway(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Callers' plain HTTP, passed through to backend servers; off without an address.
+    """The gateway, which proxies callers' plain HTTP requests to backend servers.
 
     Attributes
     ----------
     front : str
-        host:port for callers' requests; empty turns the gateway off.
+        host:port for callers' requests; empty disables the gateway.
     ready : str
         host:port for readiness checks.
     directory : str
-        host:port where callers ask which address to use.
+        host:port where callers look up which address to use.
     directory_seconds : float
-        How long callers keep the answer of the directory.
+        Time for which callers cache the answer of the directory.
     first_start : bool
-        Whether the fleet starts for the first time; nothing was spent before.
+        Whether the fleet starts for the first time, so no quota is spent yet.
     grace_seconds : float
         Time from SIGTERM until the process is killed.
     apply_seconds : float
-        Time in which a published configuration must be in force.
+        Maximum time until a published configuration must be in force.
     quota_window_seconds : float
-        Window over which teams' limits are judged.
+        Window in which teams' limits are enforced.
     quota_excess : float
-        Share by which a limit may be passed in a window.
+        Share by which a limit may be exceeded within a window.
     quota_slack : float
-        Tokens by which a limit may be passed besides.
+        Tokens by which a limit may be exceeded in addition.
     retry_share : float
-        Dispatches beyond the first, as a share of a service's requests.
+        Retry budget: repeated dispatches as a share of a service's requests.
     retry_extra : float
-        Dispatches that the fleet may send besides, in a window.
+        Repeated dispatches that the fleet may add to it in a window.
     retry_window_seconds : float
-        Window of that budget.
+        Window of the retry budget.
     quarantine_crashes : int
         Servers that a request may crash before it is refused.
     quarantine_seconds : float
@@ -256,52 +256,52 @@
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Everything that one daemon process is told.
+    """Settings of one daemon process.
 
     Attributes
     ----------
     instance : str
         Name of this instance.
     domain : str
-        Its failure domain.
+        Failure domain of this instance.
     region : str
-        Its region.
+        Region of this instance.
     host : str
-        Address that it listens on.
+        Address to listen on.
     http_port : int
-        Port for callers; 0 takes a free one.
+        Port for callers; 0 selects a free one.
     peer_port : int
-        Port for instances; 0 takes a free one.
+        Port for other instances; 0 selects a free one.
     peer_listen : str
-        host:port for instances; goes before `host` and `peer_port`.
+        host:port for other instances; overrides `host` and `peer_port`.
     advertised_peer : str
-        host:port for instances, when not where it listens.
+        host:port to announce to other instances, if not the listening one.
     admin_port : int
-        Port for operators; 0 takes a free one.
+        Port for operators; 0 selects a free one.
     keys : list[str]
         Shared keys of the instances; the first signs, all verify.
     seeds : list[str]
-        host:port of peers to start from.
+        host:port of peers to contact first.
     platform : Platform
-        The platform.
+        Platform services.
     membership : Membership
-        Heartbeats.
+        Heartbeats and failure detection.
     owner : Owner
-        Requests.
+        Requests that this instance owns.
     keeper : Keeper
-        Admission.
+        Admission to shards.
     orders : Orders
         Orders to engines.
     gateway : Gateway
-        Callers' plain HTTP.
+        Proxy for plain HTTP requests.
     logs : Logs
-        Logs.
+        Log output.
     reports : Reports
         History, metrics and burn.
     open_metrics : bool
-        Whether metrics are served to anybody who asks.
+        Whether metrics are served without a credential.
     operators : list[str]
-        SHA-256 digests of operators' credentials; empty: only loopback.
+        SHA-256 digests of operators' credentials; empty allows loopback only.
     """
 
     instance: typing.Annotated[
--- a/packages/schema/cassiaquay_schema/texts.py
+++ b/packages/schema/cassiaquay_schema/texts.py
@@ -1,7 +1,7 @@
-"""Read and check settings and fleet texts whole: accepted, or one error.
+"""Reads and checks settings and fleet texts.
 
-Nothing starts half-configured: a text is either returned as its settings object or
-refused by a :class:`~cassiaquay_schema.exceptions.SchemaError`.
+A text is either accepted as a whole, and returned as an object, or refused with one
+:class:`~cassiaquay_schema.exceptions.SchemaError`; no process runs on part of a text.
 """
 
 import re
@@ -13,65 +13,65 @@
 from . import exceptions, fleet, places, settings
 
 Shape = typing.TypeVar("Shape")
-DIGEST = re.compile(r"[0-9a-f]{64}")
-TOKEN_KEEPS = 4
-SUSPECT_BEATS = 2
-LEASE_RENEWALS = 2
+SHA256_HEX = re.compile(r"[0-9a-f]{64}")
+TOKEN_FACTOR = 4
+SUSPECT_FACTOR = 2
+LEASE_FACTOR = 2
 
 
 def read_settings(text: str) -> settings.Settings:
-    """Return the settings of one daemon process, checked whole."""
+    """Return the checked settings of one daemon process."""
     found = _read(text, settings.Settings)
     check_settings(found)
     return found
 
 
 def read_fleet(text: str) -> fleet.Fleet:
-    """Return the fleet that an operators' text describes, checked whole."""
+    """Return the checked fleet that a fleet text describes."""
     found = _read(text, fleet.Fleet)
     check_fleet(found)
     return found
 
 
 def check_settings(found: settings.Settings) -> None:
-    """Raise the first fault in how the settings fit together."""
+    """Raise an error for the first value outside the limit that another one sets."""
     owner, keeper, membership = found.owner, found.keeper, found.membership
-    _at_least(
+    _check_minimum(
         "owner.token_seconds",
         owner.token_seconds,
-        TOKEN_KEEPS * owner.keep_seconds,
-        f"at least {TOKEN_KEEPS} times owner.keep_seconds: a caller forms ids with a"
+        TOKEN_FACTOR * owner.keep_seconds,
+        f"at least {TOKEN_FACTOR} times owner.keep_seconds: a caller forms ids with a"
         " token for as long as it keeps the address, and retries under them",
     )
-    _at_least(
+    _check_minimum(
         "membership.suspect_after",
         membership.suspect_after,
-        SUSPECT_BEATS * membership.period,
-        f"at least {SUSPECT_BEATS} times membership.period: one late heartbeat is no"
+        SUSPECT_FACTOR * membership.period,
+        f"at least {SUSPECT_FACTOR} times membership.period: one late heartbeat is no"
         " failure",
     )
-    _at_least(
+    _check_minimum(
         "membership.forget_after",
         membership.forget_after,
         membership.suspect_after,
         "at least membership.suspect_after",
     )
-    _at_least(
+    _check_minimum(
         "keeper.lease_seconds",
         keeper.lease_seconds,
-        LEASE_RENEWALS * keeper.renew_seconds,
-        f"at least {LEASE_RENEWALS} times keeper.renew_seconds: one lost renewal must"
+        LEASE_FACTOR * keeper.renew_seconds,
+        f"at least {LEASE_FACTOR} times keeper.renew_seconds: one lost renewal must"
         " not free capacity that is in use",
     )
     for digest in found.operators:
-        if DIGEST.fullmatch(digest) is None:
+        if SHA256_HEX.fullmatch(digest) is None:
             raise exceptions.ShapeFault(
                 "not a digest", "operators", "64 hex digits of a SHA-256 digest"
             )
 
 
 def check_fleet(found: fleet.Fleet) -> None:
-    """Raise the first fault in how the parts of a fleet refer to each other."""
+    """Raise an error for the first duplicate, dangling reference or cycle."""
     _check_tiers(found)
     _check_teams(found)
     _check_servers(found)
@@ -90,7 +90,7 @@
         raise places.shape_fault(error, values, shape) from error
 
 
-def _at_least(place: str, value: float, least: float, accepted: str) -> None:
+def _check_minimum(place: str, value: float, least: float, accepted: str) -> None:
     if value < least:
         raise exceptions.LimitFault(
             f"{value:g} is less than {least:g}", place, accepted
@@ -113,10 +113,10 @@
     credentials: dict[str, str] = {}
     for name, team in found.teams.items():
         for tier in team.tiers:
-            _refer(tier, found.tiers, "tier", f"teams.{name}.tiers")
+            _check_reference(tier, found.tiers, "tier", f"teams.{name}.tiers")
         for digest in team.credentials:
             place = f"teams.{name}.credentials"
-            if DIGEST.fullmatch(digest) is None:
+            if SHA256_HEX.fullmatch(digest) is None:
                 raise exceptions.ShapeFault(
                     "not a digest", place, "64 hex digits of a SHA-256 digest"
                 )
@@ -138,62 +138,64 @@
             for seen, value in ((names, server.name), (addresses, server.address)):
                 if value in seen:
                     raise exceptions.DuplicateFault(
-                        f"{value!r} stands at {seen[value]} too",
+                        f"{value!r} is already used at {seen[value]}",
                         place,
                         "a name and an address of its own for each server",
                     )
                 seen[value] = place
             if server.model:
-                _refer(server.model, found.models, "model", f"{place}.model")
+                _check_reference(server.model, found.models, "model", f"{place}.model")
 
 
 def _check_services(found: fleet.Fleet) -> None:
     for name, service in found.services.items():
         place = f"services.{name}"
-        _refer(service.pool, found.pools, "pool", f"{place}.pool")
+        _check_reference(service.pool, found.pools, "pool", f"{place}.pool")
         if service.model:
-            _refer(service.model, found.models, "model", f"{place}.model")
+            _check_reference(service.model, found.models, "model", f"{place}.model")
         if service.adapter:
             if not service.model:
                 raise exceptions.ReferenceFault(
-                    "an adapter without a model", f"{place}.adapter", "a model too"
+                    "an adapter without a model", f"{place}.adapter", "a model as well"
                 )
             adapters = found.models[service.model].adapters
-            _refer(service.adapter, adapters, "adapter", f"{place}.adapter")
+            _check_reference(service.adapter, adapters, "adapter", f"{place}.adapter")
         for other in service.depends_on:
-            _refer(other, found.services, "service", f"{place}.depends_on")
+            _check_reference(other, found.services, "service", f"{place}.depends_on")
         for index, objective in enumerate(service.objectives):
             at = f"{place}.objectives[{index}].tier"
-            _refer(objective.tier, found.tiers, "tier", at)
+            _check_reference(objective.tier, found.tiers, "tier", at)
 
 
 def _check_cycles(found: fleet.Fleet) -> None:
     done: set[str] = set()
     for start in found.services:
-        _walk(found, start, [], done)
+        _check_cycles_from(found, start, [], done)
 
 
-def _walk(found: fleet.Fleet, name: str, path: list[str], done: set[str]) -> None:
+def _check_cycles_from(
+    found: fleet.Fleet, name: str, path: list[str], done: set[str]
+) -> None:
     if name in path:
-        circle = " -> ".join([*path[path.index(name) :], name])
+        cycle = " -> ".join([*path[path.index(name) :], name])
         raise exceptions.CycleFault(
-            f"services depend on each other: {circle}",
+            f"circular dependency of services: {cycle}",
             f"services.{name}.depends_on",
-            "dependencies without a circle",
+            "dependencies without a cycle",
         )
     if name in done:
         return
     for other in found.services[name].depends_on:
-        _walk(found, other, [*path, name], done)
+        _check_cycles_from(found, other, [*path, name], done)
     done.add(name)
 
 
-def _refer(
+def _check_reference(
     name: str, known: typing.Mapping[str, object], kind: str, place: str
 ) -> None:
     if name in known:
         return
-    there = ", ".join(sorted(known)) or "none"
+    names = ", ".join(sorted(known)) or "none"
     raise exceptions.ReferenceFault(
-        f"no {kind} named {name!r}", place, f"one of: {there}"
+        f"no {kind} named {name!r}", place, f"one of: {names}"
     )
