--- a/tests/caller_fakes.py
+++ b/tests/caller_fakes.py
@@ -1,4 +1,4 @@
-"""A small fake instance over real sockets, for tests of the caller package."""
+"""Scripted fake instances on local sockets, for tests of the caller package."""
 
 import asyncio
 import collections
@@ -16,10 +16,10 @@
 TEXTS = ["Two ", "plus ", "two ", "is ", "fünf."]
 DATA = [json.dumps({"text": text}, ensure_ascii=False) for text in TEXTS]
 DIGEST = xxhash.xxh3_128_hexdigest("".join(DATA).encode())
-LONG = 20.0
+TIMEOUT_S = 20.0
 
 
-class Seen(typing.NamedTuple):
+class ReceivedRequest(typing.NamedTuple):
     method: str
     verb: str
     request_id: str
@@ -27,17 +27,20 @@
     body: dict[str, typing.Any]
 
 
-class Fake:
-    """Instances that share one script: one entry a request or resume, in order."""
+class FakeInstances:
+    """Fake instances with one shared script.
+
+    Each request or resume takes the next step of the script; the last step repeats.
+    """
 
     def __init__(self, script: list[typing.Any]) -> None:
         self.script = script
-        self.seen: list[Seen] = []
+        self.received: list[ReceivedRequest] = []
         self.outcome = {"outcome": "outcome_unknown", "code": "lost"}
         self.outcome_status = 200
-        self.cancelled = {"outcome": "not_run", "code": "cancelled"}
-        self.acknowledged: list[str] = []
-        self.given_up: list[str] = []
+        self.cancel_outcome = {"outcome": "not_run", "code": "cancelled"}
+        self.acknowledged_ids: list[str] = []
+        self.cancelled_ids: list[str] = []
         self.keep_seconds = 10.0
         self.lists_addresses = True
         self.ports: list[int] = []
@@ -50,7 +53,7 @@
                 routing.Route(
                     "/v1/requests/{id}", self.acknowledge, methods=["DELETE"]
                 ),
-                routing.Route("/v1/requests/{id}/outcome", self.tell),
+                routing.Route("/v1/requests/{id}/outcome", self.report_outcome),
                 routing.Route(
                     "/v1/requests/{id}/cancel", self.cancel, methods=["POST"]
                 ),
@@ -58,19 +61,19 @@
         )
 
     @property
-    def posted(self) -> list[str]:
-        """Ids in the order of their first sending."""
-        return list(dict.fromkeys(one.request_id for one in self.seen))
+    def request_ids(self) -> list[str]:
+        """Distinct request ids in the order of their first attempt."""
+        return list(dict.fromkeys(request.request_id for request in self.received))
 
     async def addresses(self, _: requests.Request) -> responses.Response:
         listed = [
             {
                 "address": f"127.0.0.1:{port}",
-                "instance": f"cq-{place}",
+                "instance": f"cq-{index}",
                 "domain": "east",
-                "token": f"cq-{place}.life",
+                "token": f"cq-{index}.life",
             }
-            for place, port in enumerate(self.ports)
+            for index, port in enumerate(self.ports)
         ]
         if not self.lists_addresses:
             return responses.JSONResponse({}, status_code=503)
@@ -84,20 +87,22 @@
         raw = await request.body()
         body = json.loads(raw) if raw else {}
         request_id = request.path_params["id"]
-        self.seen.append(Seen(request.method, "", request_id, start, body))
+        self.received.append(
+            ReceivedRequest(request.method, "", request_id, start, body)
+        )
         step = self.script.pop(0) if len(self.script) > 1 else self.script[0]
         return await step(start)
 
     async def acknowledge(self, request: requests.Request) -> responses.Response:
-        self.acknowledged.append(request.path_params["id"])
+        self.acknowledged_ids.append(request.path_params["id"])
         return responses.JSONResponse({})
 
-    async def tell(self, _: requests.Request) -> responses.Response:
+    async def report_outcome(self, _: requests.Request) -> responses.Response:
         return responses.JSONResponse(self.outcome, status_code=self.outcome_status)
 
     async def cancel(self, request: requests.Request) -> responses.Response:
-        self.given_up.append(request.path_params["id"])
-        return responses.JSONResponse(self.cancelled)
+        self.cancelled_ids.append(request.path_params["id"])
+        return responses.JSONResponse(self.cancel_outcome)
 
 
 def event(number: int, data: str) -> bytes:
@@ -110,39 +115,39 @@
     return f"event: final\ndata: {text}\n\n".encode()
 
 
-def reply(pieces: list[bytes], *, cut: bool = False) -> responses.Response:
+def reply(chunks: list[bytes], *, cut: bool = False) -> responses.Response:
     async def body() -> collections.abc.AsyncIterator[bytes]:
-        for piece in pieces:
-            yield piece
+        for chunk in chunks:
+            yield chunk
         if cut:
-            raise ConnectionError("the fake cuts the stream here")
+            raise ConnectionError("the fake instance cuts the stream here")
 
     return responses.StreamingResponse(body(), media_type="text/event-stream")
 
 
-async def whole(start: int) -> responses.Response:
+async def send_whole(start: int) -> responses.Response:
     events = [event(n, DATA[n]) for n in range(start, len(DATA))]
-    # One event split in the middle of a character.
+    # Split the body inside a multi-byte character.
     joined = b"".join(events)
-    place = joined.find("ü".encode()) + 1
-    return reply([joined[:place], joined[place:], final()])
+    offset = joined.find("ü".encode()) + 1
+    return reply([joined[:offset], joined[offset:], final()])
 
 
-async def corrupt(start: int) -> responses.Response:
+async def send_corrupt(start: int) -> responses.Response:
     events = [event(n, DATA[n]) for n in range(start, len(DATA))]
     return reply([*events[:-1], event(len(DATA) - 1, DATA[0]), final()])
 
 
-async def short(start: int) -> responses.Response:
+async def send_short(start: int) -> responses.Response:
     return reply([*[event(n, DATA[n]) for n in range(start, 2)], final()])
 
 
-async def cut(start: int) -> responses.Response:
+async def send_cut(start: int) -> responses.Response:
     return reply([event(n, DATA[n]) for n in range(start, 2)], cut=True)
 
 
-async def hang(_: int) -> responses.Response:
-    await asyncio.sleep(LONG)
+async def never_answer(_: int) -> responses.Response:
+    await asyncio.sleep(TIMEOUT_S)
     return responses.JSONResponse({})
 
 
@@ -155,14 +160,14 @@
 
 
 SHED = refuse(503, "not_run", "shed_overload", retry_after_ms=1)
-UNKNOWN = refuse(502, "outcome_unknown", "owner_gone")
+OWNER_GONE = refuse(502, "outcome_unknown", "owner_gone")
 
 
 @contextlib.asynccontextmanager
 async def serve(
     script: list[typing.Any], count: int = 1, **settings: typing.Any
-) -> collections.abc.AsyncIterator[tuple[Fake, cassiaquay.Session]]:
-    fake = Fake(script)
+) -> collections.abc.AsyncIterator[tuple[FakeInstances, cassiaquay.Session]]:
+    fake = FakeInstances(script)
     servers = []
     tasks = []
     for _ in range(count):
@@ -176,12 +181,12 @@
         )
         server = uvicorn.Server(config)
         tasks.append(asyncio.create_task(server.serve()))
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(TIMEOUT_S):
             while not server.started:
                 await asyncio.sleep(0.005)
         fake.ports.append(server.servers[0].sockets[0].getsockname()[1])
         servers.append(server)
-    values = {"backoff_base": 0.001, "timeout": LONG, **settings}
+    values = {"backoff_base": 0.001, "timeout": TIMEOUT_S, **settings}
     chosen = cassiaquay.Settings(
         seeds=[f"127.0.0.1:{fake.ports[0]}"],
         domain="east",
@@ -197,9 +202,9 @@
         await asyncio.gather(*tasks)
 
 
-def run(work: collections.abc.Coroutine[typing.Any, typing.Any, None]) -> None:
-    async def bounded() -> None:
-        async with asyncio.timeout(3 * LONG):
-            await work
+def run(scenario: collections.abc.Coroutine[typing.Any, typing.Any, None]) -> None:
+    async def run_with_timeout() -> None:
+        async with asyncio.timeout(3 * TIMEOUT_S):
+            await scenario
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
--- a/tests/test_caller_faults.py
+++ b/tests/test_caller_faults.py
@@ -1,4 +1,4 @@
-"""The caller package when instances die, refuse, hang or hand work back."""
+"""Tests of the caller package with instances that crash, refuse, hang or leave."""
 
 import asyncio
 
@@ -12,102 +12,107 @@
 
 
 def test_failed_is_not_retried():
-    async def work() -> None:
+    async def scenario() -> None:
         async with fakes.serve(
-            [fakes.refuse(500, "failed", "engine_error"), fakes.whole]
+            [fakes.refuse(500, "failed", "engine_error"), fakes.send_whole]
         ) as (
             fake,
             session,
         ):
             with pytest.raises(exceptions.Failed):
                 await session.ask("tutor-assist", "2+2?")
-        assert len(fake.seen) == 1
+        assert len(fake.received) == 1
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("told", "kind"),
+    ("outcome", "error"),
     [("not_run", exceptions.NotRun), ("outcome_unknown", exceptions.Timeout)],
 )
-def test_deadline_cancels_and_says_what_is_known(told, kind):
-    async def work() -> None:
-        async with fakes.serve([fakes.hang]) as (fake, session):
-            fake.cancelled = {"outcome": told, "code": "cancelled"}
-            with pytest.raises(kind):
+def test_request_is_cancelled_at_its_deadline_and_its_outcome_raised(outcome, error):
+    async def scenario() -> None:
+        async with fakes.serve([fakes.never_answer]) as (fake, session):
+            fake.cancel_outcome = {"outcome": outcome, "code": "cancelled"}
+            with pytest.raises(error):
                 await session.ask("tutor-assist", "2+2?", deadline=0.2)
-        assert len(fake.seen) == 1
+        assert len(fake.received) == 1
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
-def test_address_that_refuses_connections_is_left_and_its_id_dropped():
-    """The caller sees a whole answer although the first address is dead.
+def test_refused_connection_moves_a_request_to_another_address_and_id():
+    """A request whose first address refuses connections completes at another one.
 
-    No byte leaves over a refused connection, so no instance ever saw the id: it is
-    dropped, and another instance gets an id of its own. Under the old id it
-    would have to say ``outcome_unknown``, and a booking would end there.
+    No byte was sent under the first id, so it is replaced by an id of the other
+    instance. For the first id that instance would answer ``outcome_unknown``, and a
+    request that is not idempotent would fail.
     """
 
-    async def work() -> None:
-        async with fakes.serve([fakes.whole]) as (fake, session):
+    async def scenario() -> None:
+        async with fakes.serve([fakes.send_whole]) as (fake, session):
             fake.ports.insert(0, ports.free_port())
-            dead = f":{fake.ports[0]}"
-            sent: list[hooks.Attempt] = []
-            session.hooks.register(hooks.ATTEMPT, sent.append)
+            closed = f":{fake.ports[0]}"
+            attempts: list[hooks.Attempt] = []
+            session.hooks.register(hooks.ATTEMPT, attempts.append)
             for _ in range(20):
                 session.addresses.invalidate()
                 session.addresses.report_success(f"127.0.0.1:{fake.ports[0]}")
                 answer = await session.ask("tutor-assist", "2+2?", idempotent=False)
                 assert answer.text == "".join(fakes.TEXTS)
-        refused = {one.request_id for one in sent if one.address.endswith(dead)}
+        refused = {
+            attempt.request_id
+            for attempt in attempts
+            if attempt.address.endswith(closed)
+        }
         assert refused
-        assert len(fake.posted) == 20
-        assert not refused & set(fake.posted)
-        assert all(name.startswith("cq-1.") for name in fake.posted)
-        assert {one.address for one in sent} == {
+        assert len(fake.request_ids) == 20
+        assert not refused & set(fake.request_ids)
+        assert all(request_id.startswith("cq-1.") for request_id in fake.request_ids)
+        assert {attempt.address for attempt in attempts} == {
             f"127.0.0.1:{port}" for port in fake.ports
         }
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
-def test_dead_instance_costs_no_answer_though_many_callers_meet_it_at_once():
-    """All callers see whole answers, more of them than the budget has retries.
+def test_crashed_instance_fails_none_of_many_concurrent_requests():
+    """All requests get whole answers, more than the budget has retries.
 
-    The best-ranked instance is dead and 60 requests start before anyone knows.
-    The first repeat under an id adds no work, so the budget does not bind it.
+    The best-ranked instance has crashed, and 60 requests start before any attempt has
+    failed. The first repeat of a request adds no load and takes nothing from the
+    budget.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with fakes.serve(
-            [fakes.whole], budget_capacity=1.0, budget_ratio=0.0
+            [fakes.send_whole], budget_capacity=1.0, budget_ratio=0.0
         ) as (
             fake,
             session,
         ):
             fake.ports.insert(0, ports.free_port())
-            sent: list[hooks.Attempt] = []
-            session.hooks.register(hooks.ATTEMPT, sent.append)
-            asked = [session.ask("tutor-assist", "2+2?") for _ in range(60)]
-            answers = await asyncio.gather(*asked)
-        assert {one.text for one in answers} == {"".join(fakes.TEXTS)}
-        assert any(one.request_id.startswith("cq-0.") for one in sent)
-        assert all(one.request_id.startswith("cq-1.") for one in answers)
+            attempts: list[hooks.Attempt] = []
+            session.hooks.register(hooks.ATTEMPT, attempts.append)
+            coroutines = [session.ask("tutor-assist", "2+2?") for _ in range(60)]
+            answers = await asyncio.gather(*coroutines)
+        assert {answer.text for answer in answers} == {"".join(fakes.TEXTS)}
+        assert any(attempt.request_id.startswith("cq-0.") for attempt in attempts)
+        assert all(answer.request_id.startswith("cq-1.") for answer in answers)
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
-def test_bad_status_of_a_resume_does_not_claim_not_run():
-    """The caller sees OutcomeUnknown, since the request was taken before.
+def test_client_error_of_a_resume_is_not_reported_as_not_run():
+    """OutcomeUnknown is raised, since the request had been accepted before.
 
-    The answer is cut after two events and the resume gets 401: that is said of
-    the resume, not of the request.
+    The answer is cut after two events and the resume gets status 401, which refuses
+    the resume, not the request.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with fakes.serve(
-            [fakes.cut, fakes.refuse(401, "not_run", "unauthorized")]
+            [fakes.send_cut, fakes.refuse(401, "not_run", "unauthorized")]
         ) as (
             _,
             session,
@@ -115,150 +120,154 @@
             with pytest.raises(exceptions.OutcomeUnknown):
                 await session.ask("tutor-assist", "2+2?")
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
-def test_refused_question_about_an_outcome_is_not_taken_for_the_outcome():
-    """A booking whose outcome is unknown is not sent again.
+def test_refused_outcome_query_is_not_taken_for_the_outcome():
+    """A booking with unknown outcome is not sent again when the query is refused.
 
-    The question about its outcome is refused, and the refusal says not_run of
-    the question itself.
+    The refusal contains ``not_run`` as the outcome of the query itself.
     """
 
-    async def work() -> None:
-        async with fakes.serve([fakes.UNKNOWN, fakes.whole]) as (fake, session):
+    async def scenario() -> None:
+        async with fakes.serve([fakes.OWNER_GONE, fakes.send_whole]) as (fake, session):
             fake.outcome = {"outcome": "not_run", "code": "unauthorized"}
             fake.outcome_status = 401
             with pytest.raises(exceptions.OutcomeUnknown):
                 await session.call("bookings-app", "/book", {}, idempotent=False)
-        assert len(fake.posted) == 1
+        assert len(fake.request_ids) == 1
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
-def test_application_that_goes_away_cancels_its_request():
-    async def work() -> None:
-        async with fakes.serve([fakes.hang]) as (fake, session):
+def test_cancelled_application_task_cancels_its_request():
+    async def scenario() -> None:
+        async with fakes.serve([fakes.never_answer]) as (fake, session):
             task = asyncio.create_task(session.ask("tutor-assist", "2+2?"))
-            async with asyncio.timeout(fakes.LONG):
-                while not fake.seen:
+            async with asyncio.timeout(fakes.TIMEOUT_S):
+                while not fake.received:
                     await asyncio.sleep(0.005)
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
-        assert fake.given_up == fake.posted
+        assert fake.cancelled_ids == fake.request_ids
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
-def test_list_kept_too_long_forms_no_new_id():
-    """The caller sees NoAddress, which says truly that nothing ran.
+def test_stale_address_list_forms_no_new_id():
+    """NoAddress is raised, which says correctly that the request did not run.
 
-    No instance renews the list; an expired token would get outcome_unknown.
+    No instance renews the address list, and an id with an expired token would get
+    ``outcome_unknown``.
     """
 
-    async def work() -> None:
-        async with fakes.serve([fakes.whole], max_attempts=1) as (fake, session):
+    async def scenario() -> None:
+        async with fakes.serve([fakes.send_whole], max_attempts=1) as (fake, session):
             fake.keep_seconds = 0.0
             await session.ask("tutor-assist", "2+2?")
             fake.lists_addresses = False
             answered = 1
             with pytest.raises(exceptions.NoAddress):
-                async with asyncio.timeout(fakes.LONG):
+                async with asyncio.timeout(fakes.TIMEOUT_S):
                     while True:
                         await session.ask("tutor-assist", "2+2?")
                         answered += 1
                         await asyncio.sleep(0.02)
-        assert len(fake.seen) == answered
+        assert len(fake.received) == answered
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
 def test_no_address_is_raised_when_no_instance_answers():
-    async def work() -> None:
+    async def scenario() -> None:
         settings = cassiaquay.Settings(
-            [f"127.0.0.1:{ports.free_port()}"], timeout=fakes.LONG, max_attempts=2
+            [f"127.0.0.1:{ports.free_port()}"], timeout=fakes.TIMEOUT_S, max_attempts=2
         )
         async with cassiaquay.Session(settings) as session:
             with pytest.raises(exceptions.NoAddress):
                 await session.ask("tutor-assist", "2+2?")
-            told = await session.outcome("cq-0.life~1")
-            assert told.outcome == "outcome_unknown"
+            outcome = await session.outcome("cq-0.life~1")
+            assert outcome.outcome == "outcome_unknown"
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
-def test_work_handed_back_by_a_leaving_instance_needs_no_retry_budget():
-    """The caller sees its answer, although its session has no retry left.
+def test_requests_refused_by_a_leaving_instance_need_no_retry_budget():
+    """The caller gets its answer although its session has no retry left.
 
-    A leaving instance hands back more waiting requests at once than the budget has
-    retries; they go to another instance and add nothing to its load.
+    A leaving instance refuses more waiting requests at once than the budget has
+    retries. They move to another instance without adding load to the fleet.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         leaving = fakes.refuse(503, "not_run", "instance_leaving")
-        script = [leaving, leaving, fakes.whole]
+        script = [leaving, leaving, fakes.send_whole]
         async with fakes.serve(script, budget_capacity=0.0, budget_ratio=0.0) as (
             fake,
             session,
         ):
             answer = await session.ask("tutor-assist", "2+2?")
         assert answer.text == "".join(fakes.TEXTS)
-        assert len(fake.posted) == 3
+        assert len(fake.request_ids) == 3
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
 def test_leaving_a_stream_by_break_cancels_once_the_generator_is_closed():
-    """The application stops reading; the request is given up when it closes it."""
+    """The request is cancelled when the application closes the stream's generator."""
 
-    async def work() -> None:
-        async with fakes.serve([fakes.whole]) as (fake, session):
+    async def scenario() -> None:
+        async with fakes.serve([fakes.send_whole]) as (fake, session):
             texts = session.stream("tutor-assist", "2+2?")
             async for _ in texts:
                 break
-            assert not fake.given_up
+            assert not fake.cancelled_ids
             await texts.aclose()
-        assert fake.given_up == fake.posted
+        assert fake.cancelled_ids == fake.request_ids
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
-def test_a_question_about_an_id_is_bounded_by_itself():
-    """The caller that asks for an outcome is told "unknown", not kept waiting.
+def test_outcome_query_has_its_own_timeout():
+    """A query returns ``outcome_unknown`` after its timeout.
 
-    The instance takes the connection and never answers.
+    The instance accepts the connection and does not answer within that time.
     """
 
-    async def work() -> None:
-        async with fakes.serve([fakes.whole], question_timeout=0.05) as (fake, session):
+    async def scenario() -> None:
+        async with fakes.serve([fakes.send_whole], question_timeout=0.05) as (
+            fake,
+            session,
+        ):
 
-            async def silent(_: requests.Request) -> responses.Response:
+            async def answer_after_timeout(_: requests.Request) -> responses.Response:
                 await asyncio.sleep(1.0)
                 return responses.JSONResponse({})
 
-            fake.app.routes[3].app = routing.Route("/", silent).app
-            told = await session.outcome("cq-0.life~1")
-        assert (told.outcome, told.code) == ("outcome_unknown", "unreachable")
+            fake.app.routes[3].app = routing.Route("/", answer_after_timeout).app
+            found = await session.outcome("cq-0.life~1")
+        assert (found.outcome, found.code) == ("outcome_unknown", "unreachable")
 
-    fakes.run(work())
+    fakes.run(scenario())
 
 
-def test_a_silent_instance_is_asked_before_the_attempt_is_given_up():
-    """The caller that waits its turn sees its answer, from one attempt.
+def test_silent_instance_is_queried_before_the_attempt_fails():
+    """A request that waits in a queue is answered by its first attempt.
 
-    The instance says nothing for several silence times, but that the request waits.
+    The instance sends nothing for several silence timeouts, but answers queries that
+    the request is waiting.
     """
 
-    async def work() -> None:
-        async def slow(start: int) -> responses.Response:
+    async def scenario() -> None:
+        async def answer_late(start: int) -> responses.Response:
             await asyncio.sleep(0.3)
-            return await fakes.whole(start)
+            return await fakes.send_whole(start)
 
-        async with fakes.serve([slow], silence_timeout=0.05) as (fake, session):
+        async with fakes.serve([answer_late], silence_timeout=0.05) as (fake, session):
             fake.outcome = {"outcome": "", "code": "", "state": "waiting"}
             answer = await session.ask("tutor-assist", "2+2?")
         assert answer.text == "".join(fakes.TEXTS)
-        assert len(fake.seen) == 1
+        assert len(fake.received) == 1
 
-    fakes.run(work())
+    fakes.run(scenario())
