--- a/packages/dev/cassiaquay_dev/standins/__init__.py
+++ b/packages/dev/cassiaquay_dev/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside: engines, plain servers, both platforms' services."""
+"""Stand-ins for external systems: engines, plain servers and platform services."""
--- a/packages/dev/cassiaquay_dev/standins/blocks.py
+++ b/packages/dev/cassiaquay_dev/standins/blocks.py
@@ -9,16 +9,19 @@
 
 
 def count_tokens(prompt: str) -> int:
-    """Return the number of tokens of ``prompt``, the last one perhaps not full."""
+    """Return the number of tokens of ``prompt``, rounded up."""
     return -(-len(prompt) // CHARACTERS_PER_TOKEN)
 
 
 def block_hashes(prompt: str) -> list[int]:
-    """Return the chained hashes of the whole blocks of ``prompt``."""
+    """Return the hashes of the full blocks of ``prompt``.
+
+    Each hash covers the block and the hash of the block before it.
+    """
     hashes = []
     previous = 0
-    whole = len(prompt) // CHARACTERS_PER_BLOCK
-    for number in range(whole):
+    full_blocks = len(prompt) // CHARACTERS_PER_BLOCK
+    for number in range(full_blocks):
         start = number * CHARACTERS_PER_BLOCK
         block = prompt[start : start + CHARACTERS_PER_BLOCK].encode()
         previous = xxhash.xxh3_64_intdigest(
--- a/packages/dev/cassiaquay_dev/standins/engine.py
+++ b/packages/dev/cassiaquay_dev/standins/engine.py
@@ -28,17 +28,17 @@
 )
 
 
-def _bad_request(message: str) -> responses.Response:
+def _bad_request_response(message: str) -> responses.Response:
     content = {"code": "bad_request", "message": message}
     return responses.JSONResponse(content, status_code=400)
 
 
-def _not_held() -> responses.Response:
+def _not_held_response() -> responses.Response:
     return responses.JSONResponse({"code": "not_held"}, status_code=404)
 
 
 class Engine:
-    """One engine with its HTTP interface."""
+    """HTTP interface of one engine."""
 
     def __init__(self, settings: engine_settings.EngineSettings) -> None:
         self.settings = settings
@@ -61,11 +61,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the steps."""
+        """Start the task that runs the batching steps."""
         self._task = asyncio.create_task(self.model.run())
 
     async def stop(self) -> None:
-        """Stop the steps and any loading."""
+        """Cancel the batching steps and any load of a model or adapter."""
         await self.orders.stop()
         if self._task is not None:
             self._task.cancel()
@@ -79,25 +79,26 @@
             model = body.get("model")
             adapter = body.get("adapter")
         except (ValueError, KeyError, TypeError, AttributeError):
-            return _bad_request("prompt and max_tokens are needed")
+            return _bad_request_response("prompt and max_tokens are needed")
         if not isinstance(prompt, str) or not isinstance(max_tokens, int):
-            return _bad_request("prompt is a string and max_tokens an integer")
+            return _bad_request_response("prompt is a string and max_tokens an integer")
         if max_tokens < 1 or not prompt:
-            return _bad_request("prompt and max_tokens may not be empty")
-        asked = engine_stream.StreamRequest(
+            return _bad_request_response("prompt and max_tokens may not be empty")
+        stream_request = engine_stream.StreamRequest(
             request.path_params["id"], prompt, max_tokens
         )
-        # A known id is told before anything else, so that a repeat is never run.
-        if not self.model.knows(asked.id):
+        # A known id skips these checks and gets 409 below, so that a repeat always
+        # gets the answer for a duplicate.
+        if not self.model.is_held(stream_request.id):
             if self.orders.loading:
                 return responses.JSONResponse({"code": "loading"}, status_code=503)
             if model and model != self.orders.model:
-                return _bad_request(f"the model is {self.orders.model}")
+                return _bad_request_response(f"the model is {self.orders.model}")
             if adapter and adapter not in self.orders.adapters:
-                return _bad_request(f"the adapter {adapter} is not loaded")
-            if not self.model.fits(asked):
-                return _bad_request("larger than the KV memory")
-        stream = self.model.submit(asked)
+                return _bad_request_response(f"the adapter {adapter} is not loaded")
+            if not self.model.fits(stream_request):
+                return _bad_request_response("larger than the KV memory")
+        stream = self.model.submit(stream_request)
         if stream is None:
             return responses.JSONResponse({"code": "duplicate"}, status_code=409)
         return engine_answers.Answer(stream, 0, self.cuts)
@@ -105,19 +106,19 @@
     async def _resume(self, request: requests.Request) -> typing.Any:
         stream = self.model.find(request.path_params["id"])
         if stream is None:
-            return _not_held()
+            return _not_held_response()
         try:
             first = int(request.query_params.get("from", "0"))
         except ValueError:
-            return _bad_request("from is an integer")
+            return _bad_request_response("from is an integer")
         if first < 0:
-            return _bad_request("from is 0 or more")
+            return _bad_request_response("from is 0 or more")
         return engine_answers.Answer(stream, first, self.cuts)
 
     async def _cancel(self, request: requests.Request) -> responses.Response:
         stream = self.model.cancel(request.path_params["id"])
         if stream is None:
-            return _not_held()
+            return _not_held_response()
         content = {
             "prefilled_tokens": stream.dispatch["prefilled_tokens"],
             "generated_tokens": stream.dispatch["generated_tokens"],
@@ -128,7 +129,7 @@
         try:
             hashes = [int(block) for block in (await request.json())["blocks"]]
         except (ValueError, KeyError, TypeError):
-            return _bad_request("blocks is a list of hashes")
+            return _bad_request_response("blocks is a list of hashes")
         cached = self.model.cache.cached(hashes)
         blob = b"".join(block.to_bytes(blocks.HASH_BYTES, "big") for block in cached)
         content = {"blob": base64.b64encode(blob).decode(), "blocks": cached}
@@ -138,7 +139,7 @@
         try:
             blob = base64.b64decode((await request.json())["blob"], validate=True)
         except (ValueError, KeyError, TypeError, binascii.Error):
-            return _bad_request("blob is base64")
+            return _bad_request_response("blob is base64")
         hashes = []
         for start in range(0, len(blob), blocks.HASH_BYTES):
             block = blob[start : start + blocks.HASH_BYTES]
@@ -151,7 +152,7 @@
         try:
             after = int(request.query_params.get("after", "0"))
         except ValueError:
-            return _bad_request("after is an integer")
+            return _bad_request_response("after is an integer")
         sequence, events = self.model.events.read(after)
         return responses.JSONResponse({"sequence": sequence, "events": events})
 
@@ -182,11 +183,11 @@
                 str(body.get("role") or ""),
             )
         except (ValueError, KeyError, TypeError, AttributeError):
-            return _bad_request("fence and kind are needed")
+            return _bad_request_response("fence and kind are needed")
         if order.kind not in engine_orders.KINDS:
-            return _bad_request(f"unknown kind {order.kind}")
+            return _bad_request_response(f"unknown kind {order.kind}")
         try:
-            state = self.orders.obey(order)
+            state = self.orders.execute(order)
         except engine_orders.OldFence:
             content = {"fence": self.orders.fence}
             return responses.JSONResponse(content, status_code=409)
--- a/packages/dev/cassiaquay_dev/standins/engine_answers.py
+++ b/packages/dev/cassiaquay_dev/standins/engine_answers.py
@@ -1,4 +1,4 @@
-"""Event streams of the model engine stand-in, which can be cut by order."""
+"""Event streams of the model engine stand-in, which control calls can cut off."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 def encode_events(stream_id: str, first: int, end: int) -> bytes:
-    """Return the token events ``first`` to ``end - 1``."""
+    """Return the token events ``first`` to ``end - 1`` as event-stream bytes."""
     parts = []
     for index in range(first, end):
         data = json.dumps({"text": texts.expected_text(stream_id, index)})
@@ -20,7 +20,7 @@
 
 
 def encode_done(dispatch: engine_stream.Dispatch) -> bytes:
-    """Return the event after the last token."""
+    """Return the ``done`` event, which follows the last token."""
     data = json.dumps(
         {
             "count": dispatch["generated_tokens"],
@@ -32,17 +32,18 @@
 
 
 class Cuts:
-    """Open answers, and the orders to cut them."""
+    """Open answers, and the requested cuts of their connections."""
 
     def __init__(self) -> None:
         self._open: set[Answer] = set()
-        self._armed: dict[str, int] = {}
+        self._pending_cuts: dict[str, int] = {}
 
     def cut(self, stream_id: str | None, after: int) -> int:
         """Cut open answers once they have sent ``after`` events.
 
-        With None every open answer is cut. With an id that has no open answer the
-        next answer of that id is cut, once. Returns the number of open answers.
+        With ``stream_id`` None, cuts every open answer. If the stream has no open
+        answer, cuts the next one that opens for it, once. Returns the number of open
+        answers that are cut.
         """
         count = 0
         for answer in self._open:
@@ -50,18 +51,18 @@
                 answer.cut(after)
                 count += 1
         if stream_id is not None and count == 0:
-            self._armed[stream_id] = after
+            self._pending_cuts[stream_id] = after
         return count
 
-    def opened(self, answer: "Answer") -> None:
-        """Register an answer."""
+    def register(self, answer: "Answer") -> None:
+        """Register an open answer and apply a pending cut of its stream."""
         self._open.add(answer)
-        after = self._armed.pop(answer.stream.id, None)
+        after = self._pending_cuts.pop(answer.stream.id, None)
         if after is not None:
             answer.cut(after)
 
-    def closed(self, answer: "Answer") -> None:
-        """Forget an answer."""
+    def unregister(self, answer: "Answer") -> None:
+        """Remove an answer whose response has ended."""
         self._open.discard(answer)
 
 
@@ -76,28 +77,29 @@
         self._disconnected = False
 
     def cut(self, after: int) -> None:
-        """Close the connection once event ``after`` is the next one."""
+        """Close the connection when event ``after`` is the next to send."""
         self._cut_after = after
         self.stream.notify()
 
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
-        """Send the events; the body is left without an end when it is cut."""
-        self._cuts.opened(self)
-        listener = asyncio.create_task(self._listen(receive))
+        """Send the events; a cut leaves the response body incomplete."""
+        self._cuts.register(self)
+        listener = asyncio.create_task(self._wait_for_disconnect(receive))
         try:
             await send(
                 {"type": "http.response.start", "status": 200, "headers": HEADERS}
             )
-            # The status line leaves with the first body part, before any token.
+            # The server sends the status line only with the first body part; the
+            # empty part sends it before any token.
             await send({"type": "http.response.body", "body": b"", "more_body": True})
             await self._send_events(send)
         finally:
             listener.cancel()
-            self._cuts.closed(self)
+            self._cuts.unregister(self)
 
-    async def _listen(self, receive: types.Receive) -> None:
+    async def _wait_for_disconnect(self, receive: types.Receive) -> None:
         while (await receive())["type"] != "http.disconnect":
             pass
         self._disconnected = True
--- a/packages/dev/cassiaquay_dev/standins/engine_control.py
+++ b/packages/dev/cassiaquay_dev/standins/engine_control.py
@@ -1,4 +1,4 @@
-"""Control of the model engine stand-in: faults, the log and totals."""
+"""Control routes of the model engine stand-in: faults, dispatch log and totals."""
 
 from starlette import requests, responses, routing
 
--- a/packages/dev/cassiaquay_dev/standins/engine_model.py
+++ b/packages/dev/cassiaquay_dev/standins/engine_model.py
@@ -1,8 +1,9 @@
 """Continuous batching in real time: the model of the engine stand-in.
 
-One task runs the steps. A virtual clock adds up the time of the steps and the task
-sleeps only when that clock is ahead by `SLEEP_SECONDS`: shorter sleeps would each be
-too long, and the engine slower than its settings say.
+One task runs the steps. A virtual clock adds up the durations of the steps, and the
+task sleeps only when that clock is at least `MIN_SLEEP_SECONDS` ahead of real time:
+the event loop oversleeps, so a shorter sleep after each step would make the engine
+slower than its settings say.
 """
 
 import asyncio
@@ -12,20 +13,20 @@
 
 from . import blocks, engine_settings, engine_stream, prefix_cache
 
-SLEEP_SECONDS = 0.002
-LARGEST_ARREARS_SECONDS = 0.5
+MIN_SLEEP_SECONDS = 0.002
+MAX_CLOCK_LAG_SECONDS = 0.5
 STEPS_BETWEEN_YIELDS = 8
 
 
 class StepPlan(typing.NamedTuple):
-    """Work of one step: decoding streams, and prefill tokens of others."""
+    """Work of one step: the decoding streams, and prefill tokens by stream."""
 
     decoding: list[engine_stream.Stream]
     prefill: list[tuple[engine_stream.Stream, int]]
 
 
 class Totals(typing.TypedDict):
-    """Sums over the life of the process; tokens unless the name says otherwise."""
+    """Sums since the process started; tokens unless the name says otherwise."""
 
     prefilled: int
     prefill_wasted: int
@@ -36,7 +37,7 @@
 
 
 class LoadSample(typing.NamedTuple):
-    """Load at a time of the monotonic clock, in seconds."""
+    """Load at the time ``at``, in seconds of the monotonic clock."""
 
     at: float
     running: int
@@ -58,39 +59,39 @@
         )
         self._settings = settings
         self._held: dict[str, engine_stream.Stream] = {}
-        self._seen: set[str] = set()
+        self._seen_ids: set[str] = set()
         self._waiting: collections.deque[engine_stream.Stream] = collections.deque()
         self._running: list[engine_stream.Stream] = []
-        self._reserved = 0
+        self._reserved_tokens = 0
         self._busy_seconds = 0.0
-        self._work = asyncio.Event()
+        self._work_available = asyncio.Event()
         self._idle = asyncio.Event()
         self._idle.set()
         self._not_hung = asyncio.Event()
         self._not_hung.set()
         self._samples: collections.deque[LoadSample] = collections.deque()
-        self._sample(forced=True)
+        self._take_sample(forced=True)
 
-    def knows(self, stream_id: str) -> bool:
-        """Tell whether a POST of this id would be a duplicate."""
+    def is_held(self, stream_id: str) -> bool:
+        """Return whether a POST of this id would be a duplicate."""
         return stream_id in self._held
 
     def find(self, stream_id: str) -> engine_stream.Stream | None:
-        """Return the held stream, or None."""
+        """Return the held stream; None if the id is unknown or was cancelled."""
         stream = self._held.get(stream_id)
         if stream is None or stream.state == engine_stream.CANCELLED:
             return None
         return stream
 
     def fits(self, request: engine_stream.StreamRequest) -> bool:
-        """Tell whether the request can ever be admitted."""
+        """Return whether the request fits into an empty KV memory."""
         tokens = blocks.count_tokens(request.prompt) + request.max_tokens
         return tokens <= self._settings.kv_tokens
 
     def submit(
         self, request: engine_stream.StreamRequest
     ) -> engine_stream.Stream | None:
-        """Queue a stream; None when its id is known. Both are logged."""
+        """Queue a stream and return it; None if its id is known. Logs either case."""
         known = request.id in self._held
         dispatch: engine_stream.Dispatch = {
             "id": request.id,
@@ -101,58 +102,58 @@
             "generated_tokens": 0,
             "state": engine_stream.REFUSED if known else engine_stream.WAITING,
             "finished_at": None,
-            "repeat": request.id in self._seen,
+            "repeat": request.id in self._seen_ids,
         }
         self.dispatches.append(dispatch)
-        self._seen.add(request.id)
+        self._seen_ids.add(request.id)
         if known:
             return None
         stream = engine_stream.Stream(request, dispatch)
         self._held[request.id] = stream
         self._waiting.append(stream)
         self._idle.clear()
-        self._work.set()
-        self._sample()
+        self._work_available.set()
+        self._take_sample()
         return stream
 
     def cancel(self, stream_id: str) -> engine_stream.Stream | None:
-        """Stop a stream. Its id stays known, so a late POST of it does not run."""
+        """Cancel a stream; its id stays known, so that a late POST is refused."""
         stream = self.find(stream_id)
         if stream is None:
             return None
         if stream.state not in engine_stream.ENDED:
-            self._end(stream, engine_stream.CANCELLED)
+            self._end_stream(stream, engine_stream.CANCELLED)
         return stream
 
     def drop(self, stream_id: str) -> bool:
-        """Forget a held stream, and stop it if it still runs."""
+        """Remove a held stream; stop it if it still runs."""
         stream = self._held.pop(stream_id, None)
         if stream is None:
             return False
         if stream.state not in engine_stream.ENDED:
-            self._end(stream, engine_stream.DROPPED)
+            self._end_stream(stream, engine_stream.DROPPED)
         return True
 
     def hang(self, on: bool) -> None:
-        """Stop the steps, or let them go on."""
+        """Suspend the steps, or resume them."""
         if on:
             self._not_hung.clear()
         else:
             self._not_hung.set()
 
     async def wait_idle(self) -> None:
-        """Wait until no stream waits or runs."""
+        """Wait until no stream is queued or running."""
         await self._idle.wait()
 
     def load(self) -> LoadSample:
-        """Return the load as it was ``report_lag_ms`` ago."""
+        """Return the load of ``report_lag_ms`` ago."""
         if self._settings.report_lag_ms <= 0:
-            self._sample(forced=True)
+            self._take_sample(forced=True)
         self._prune_samples()
         return self._samples[0]
 
     def totals(self) -> Totals:
-        """Add up the log."""
+        """Return the sums over the dispatch log."""
         totals: Totals = {
             "prefilled": 0,
             "prefill_wasted": 0,
@@ -172,17 +173,17 @@
         return totals
 
     async def run(self) -> None:
-        """Run steps for ever."""
+        """Run steps until cancelled."""
         clock = time.monotonic()
         steps = 0
         while True:
             if not self._waiting and not self._running:
                 self._idle.set()
-                self._work.clear()
-                self._sample(forced=True)
-                await self._work.wait()
+                self._work_available.clear()
+                self._take_sample(forced=True)
+                await self._work_available.wait()
                 clock = max(clock, time.monotonic())
-            clock = max(clock, time.monotonic() - LARGEST_ARREARS_SECONDS)
+            clock = max(clock, time.monotonic() - MAX_CLOCK_LAG_SECONDS)
             self._admit()
             plan = self._plan()
             seconds = self._step_seconds(plan)
@@ -190,7 +191,7 @@
             self._busy_seconds += seconds
             ahead = clock - time.monotonic()
             steps += 1
-            if ahead >= SLEEP_SECONDS:
+            if ahead >= MIN_SLEEP_SECONDS:
                 await asyncio.sleep(ahead)
             elif steps % STEPS_BETWEEN_YIELDS == 0:
                 await asyncio.sleep(0)
@@ -198,17 +199,20 @@
                 await self._not_hung.wait()
                 clock = max(clock, time.monotonic())
             self._apply(plan)
-            self._sample()
+            self._take_sample()
 
     def _admit(self) -> None:
-        # Arrival order: a stream that does not fit holds back those behind it.
+        # First in, first out: a stream that does not fit blocks those behind it.
         while self._waiting and len(self._running) < self._settings.max_batch:
             stream = self._waiting[0]
-            if self._reserved + stream.reserved_tokens > self._settings.kv_tokens:
+            if (
+                self._reserved_tokens + stream.reserved_tokens
+                > self._settings.kv_tokens
+            ):
                 return
             self._waiting.popleft()
             self._running.append(stream)
-            self._reserved += stream.reserved_tokens
+            self._reserved_tokens += stream.reserved_tokens
             cached = self.cache.match(stream.hashes) * blocks.TOKENS_PER_BLOCK
             stream.dispatch["cached_tokens"] = cached
             stream.dispatch["state"] = engine_stream.PREFILL
@@ -252,39 +256,39 @@
                 continue
             stream.dispatch["generated_tokens"] += 1
             if stream.generated >= stream.max_tokens:
-                self._end(stream, engine_stream.FINISHED)
+                self._end_stream(stream, engine_stream.FINISHED)
                 continue
             stream.notify()
 
-    def _end(self, stream: engine_stream.Stream, state: str) -> None:
+    def _end_stream(self, stream: engine_stream.Stream, state: str) -> None:
         if stream.state == engine_stream.WAITING:
             self._waiting.remove(stream)
         else:
             self._running.remove(stream)
-            self._reserved -= stream.reserved_tokens
+            self._reserved_tokens -= stream.reserved_tokens
         stream.dispatch["state"] = state
         stream.dispatch["finished_at"] = time.time()
         stream.notify()
         loop = asyncio.get_running_loop()
-        loop.call_later(self._settings.hold_seconds, self._forget, stream)
+        loop.call_later(self._settings.hold_seconds, self._remove_held, stream)
 
-    def _forget(self, stream: engine_stream.Stream) -> None:
+    def _remove_held(self, stream: engine_stream.Stream) -> None:
         if self._held.get(stream.id) is stream:
             del self._held[stream.id]
 
-    def _sample(self, forced: bool = False) -> None:
+    def _take_sample(self, forced: bool = False) -> None:
         now = time.monotonic()
         spacing = self._settings.report_lag_ms / 4000
         if not forced and now - self._samples[-1].at < spacing:
             return
         tokens = sum(stream.reserved_tokens for stream in self._waiting)
-        tokens += self._reserved
+        tokens += self._reserved_tokens
         sample = LoadSample(now, len(self._running), len(self._waiting), tokens)
         self._samples.append(sample)
         self._prune_samples()
 
     def _prune_samples(self) -> None:
-        """Keep the newest sample that is due, and those that are not yet due."""
+        """Keep the newest sample older than the report lag, and all later ones."""
         due = time.monotonic() - self._settings.report_lag_ms / 1000
         while len(self._samples) > 1 and self._samples[1].at <= due:
             self._samples.popleft()
--- a/packages/dev/cassiaquay_dev/standins/engine_orders.py
+++ b/packages/dev/cassiaquay_dev/standins/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the model engine stand-in: models, adapters and roles."""
+"""Orders to the model engine stand-in: load a model or adapter, set the role."""
 
 import asyncio
 import typing
@@ -15,9 +15,9 @@
 READY = "ready"
 LOADING = "loading"
 
-FETCH_TRIES = 1000
+MAX_FETCH_ATTEMPTS = 1000
 DEFAULT_RETRY_SECONDS = 1.0
-LONGEST_RETRY_SECONDS = 5.0
+MAX_RETRY_SECONDS = 5.0
 
 
 class Order(typing.NamedTuple):
@@ -32,13 +32,13 @@
 
 
 class OldFence(Exception):
-    """The order carries a lower fencing number than one obeyed before."""
+    """The order's fencing number is lower than that of an accepted order."""
 
     code = "old_fence"
 
 
 class EngineOrders:
-    """What an engine has loaded, and the orders that change it."""
+    """Model, adapters and role of an engine, and the orders that change them."""
 
     def __init__(
         self,
@@ -53,21 +53,21 @@
         self.orders: list[Order] = []
         self._settings = settings
         self._engine = model
-        self._task: asyncio.Task[None] | None = None
+        self._model_task: asyncio.Task[None] | None = None
         self._adapter_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def loading(self) -> bool:
         """Whether a model is being loaded."""
-        return self._task is not None and not self._task.done()
+        return self._model_task is not None and not self._model_task.done()
 
-    def obey(self, order: Order) -> str:
-        """Start to carry out an order and return ``loading`` or ``ready``.
+    def execute(self, order: Order) -> str:
+        """Start to execute an order and return ``loading`` or ``ready``.
 
         Raises
         ------
         OldFence
-            Where the settings say that old fencing numbers are refused.
+            If the fencing number is old and ``refuse_old_fence`` is set.
         """
         if self._settings.refuse_old_fence and order.fence < self.fence:
             raise OldFence(f"fence {order.fence} is older than {self.fence}")
@@ -77,19 +77,19 @@
             self.role = order.role
             return READY
         if order.kind == LOAD_ADAPTER:
-            return self._obey_adapter(order)
-        return self._obey_model(order)
+            return self._start_adapter_load(order)
+        return self._start_model_load(order)
 
     async def stop(self) -> None:
-        """Stop loading."""
+        """Cancel the loads that are in progress."""
         tasks = list(self._adapter_tasks)
-        if self._task is not None:
-            tasks.append(self._task)
+        if self._model_task is not None:
+            tasks.append(self._model_task)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _obey_adapter(self, order: Order) -> str:
+    def _start_adapter_load(self, order: Order) -> str:
         if order.adapter in self.adapters:
             return READY
         task = asyncio.create_task(self._load_adapter(order))
@@ -97,13 +97,13 @@
         task.add_done_callback(self._adapter_tasks.discard)
         return LOADING
 
-    def _obey_model(self, order: Order) -> str:
-        if self._task is not None:
-            self._task.cancel()
-            self._task = None
+    def _start_model_load(self, order: Order) -> str:
+        if self._model_task is not None:
+            self._model_task.cancel()
+            self._model_task = None
         if (order.model, order.version) == (self.model, self.version):
             return READY
-        self._task = asyncio.create_task(self._load_model(order))
+        self._model_task = asyncio.create_task(self._load_model(order))
         return LOADING
 
     async def _load_adapter(self, order: Order) -> None:
@@ -114,26 +114,28 @@
     async def _load_model(self, order: Order) -> None:
         await self._engine.wait_idle()
         if self._settings.weights:
-            await self._fetch(order)
+            await self._fetch_weights(order)
         await asyncio.sleep(self._settings.load_ms / 1000)
         self._engine.cache.clear()
         self.adapters = []
         self.model = order.model
         self.version = order.version
 
-    async def _fetch(self, order: Order) -> None:
+    async def _fetch_weights(self, order: Order) -> None:
         address = self._settings.weights
         url = f"http://{address}/v1/weights/{order.model}/{order.version}"
         async with aiohttp.ClientSession() as session:
-            for _ in range(FETCH_TRIES):
-                wait = DEFAULT_RETRY_SECONDS
+            for _ in range(MAX_FETCH_ATTEMPTS):
+                retry_seconds = DEFAULT_RETRY_SECONDS
                 try:
                     async with session.get(url) as response:
                         if response.status == 200:
                             await response.read()
                             return
-                        wait = float(response.headers.get("Retry-After", wait))
+                        retry_seconds = float(
+                            response.headers.get("Retry-After", retry_seconds)
+                        )
                 except aiohttp.ClientError:
-                    pass  # An unreachable store is asked again, as a busy one.
-                await asyncio.sleep(min(wait, LONGEST_RETRY_SECONDS))
-        raise RuntimeError(f"the weight store refused {FETCH_TRIES} fetches")
+                    pass  # Retry an unreachable store as a busy one.
+                await asyncio.sleep(min(retry_seconds, MAX_RETRY_SECONDS))
+        raise RuntimeError(f"the weight store refused {MAX_FETCH_ATTEMPTS} fetches")
--- a/packages/dev/cassiaquay_dev/standins/engine_settings.py
+++ b/packages/dev/cassiaquay_dev/standins/engine_settings.py
@@ -6,9 +6,9 @@
 class EngineSettings(typing.NamedTuple):
     """Settings of one engine; each is a command-line flag of the same name.
 
-    Times are milliseconds unless the name says otherwise. ``weights`` is the
-    address (host:port) of a weight store, empty for none; ``adapters`` holds names
-    separated by commas.
+    Times are in milliseconds unless the name says otherwise. ``weights`` is the
+    address (host:port) of a weight store, empty for none. ``adapters`` is a
+    comma-separated list of names.
     """
 
     port: int = 0
--- a/packages/dev/cassiaquay_dev/standins/engine_stream.py
+++ b/packages/dev/cassiaquay_dev/standins/engine_stream.py
@@ -1,4 +1,4 @@
-"""One generated stream of the model engine stand-in and its entry in the log."""
+"""One stream of the model engine stand-in and its entry in the dispatch log."""
 
 import asyncio
 import typing
@@ -31,7 +31,7 @@
 
 
 class StreamRequest(typing.NamedTuple):
-    """What a POST asks for."""
+    """Parameters of a POST that starts a stream."""
 
     id: str
     prompt: str
@@ -39,7 +39,7 @@
 
 
 class Stream:
-    """State of one stream; its figures are those of its entry in the log."""
+    """State of one stream; its token counts are kept in its dispatch log entry."""
 
     def __init__(self, request: StreamRequest, dispatch: Dispatch) -> None:
         self.id = request.id
@@ -50,17 +50,17 @@
 
     @property
     def generated(self) -> int:
-        """Number of events that can be read."""
+        """Number of generated tokens, each of which is one event."""
         return self.dispatch["generated_tokens"]
 
     @property
     def state(self) -> str:
-        """One of the states of this module."""
+        """State of the stream, one of the constants of this module."""
         return self.dispatch["state"]
 
     @property
     def reserved_tokens(self) -> int:
-        """KV memory for the prompt and the longest answer."""
+        """KV memory, in tokens, for the prompt and the longest answer."""
         return self.dispatch["prompt_tokens"] + self.max_tokens
 
     @property
@@ -74,7 +74,7 @@
         return self.dispatch["prompt_tokens"] - self.processed_tokens
 
     def notify(self) -> None:
-        """Wake the readers."""
+        """Wake the tasks that wait for a change of the stream."""
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
--- a/packages/dev/cassiaquay_dev/standins/fast_engine.py
+++ b/packages/dev/cassiaquay_dev/standins/fast_engine.py
@@ -1,10 +1,10 @@
-"""A model engine stand-in that replays prepared events, faster than any daemon relays.
+"""A model engine stand-in that sends prepared events faster than a daemon relays them.
 
-Run as ``python -m cassiaquay_dev.standins.fast_engine --interval_ms 20``. It models
-nothing: the first event of a stream leaves at once, then one event each
-``interval_ms``, in `GROUPS` groups one after the other as the steps of so many engines
-would. It speaks just enough HTTP/1.1 for `cassiaquay_daemon.adapters.backends` and
-`path_client`.
+Run as ``python -m cassiaquay_dev.standins.fast_engine --interval_ms 20``. It has no
+model of batching or memory: it sends the first event of a stream at once, then one
+event each ``interval_ms``. The streams are spread over `GROUPS` groups with staggered
+send times, like the steps of that many engines. It implements only the HTTP/1.1 that
+`cassiaquay_daemon.adapters.backends` and `path_client` use.
 """
 
 import asyncio
@@ -16,9 +16,9 @@
 import uvloop
 
 HOST = "127.0.0.1"
-LONGEST_ANSWER = 1000
+MAX_EVENTS = 1000
 GROUPS = 16
-HEAD = (
+RESPONSE_HEAD = (
     b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
     b"transfer-encoding: chunked\r\n\r\n"
 )
@@ -35,16 +35,16 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def prepare(count: int) -> list[bytes]:
-    """Return the events 0 to ``count - 1`` as HTTP chunks."""
+def encode_events(count: int) -> list[bytes]:
+    """Return the token events 0 to ``count - 1`` as HTTP chunks."""
     return [
         _chunk(b'id: %d\ndata: {"text":"w%03d "}\n\n' % (index, index % 1000))
         for index in range(count)
     ]
 
 
-def done(count: int) -> bytes:
-    """Return the last event and the end of the body."""
+def encode_end(count: int) -> bytes:
+    """Return the ``done`` event and the end of the chunked body."""
     data = b'event: done\ndata: {"count":%d,"prompt_tokens":1,"cached_tokens":0}\n\n'
     return _chunk(data % count) + LAST_CHUNK
 
@@ -63,8 +63,8 @@
 
     def data_received(self, data: bytes) -> None:
         self._data += data
-        head, found, body = self._data.partition(END_OF_HEAD)
-        if not found:
+        head, separator, body = self._data.partition(END_OF_HEAD)
+        if not separator:
             return
         size = 0
         for line in head.lower().split(b"\r\n"):
@@ -78,11 +78,11 @@
             self.transport.write(NOT_FOUND)
             return
         count = msgspec.json.decode(body[:size], type=_Body).max_tokens
-        self._engine.start(self, min(count, LONGEST_ANSWER))
+        self._engine.start(self, min(count, MAX_EVENTS))
 
 
 class FastEngine:
-    """All connections, and the clocks of the events.
+    """Open connections by group, and the timer that sends their events.
 
     Parameters
     ----------
@@ -96,54 +96,54 @@
             self._groups.append({})
         self._started = 0
         self._interval = interval
-        self._events = prepare(LONGEST_ANSWER)
+        self._events = encode_events(MAX_EVENTS)
 
     def start(self, connection: _Connection, count: int) -> None:
-        """Answer with the first event of ``count``."""
+        """Send the first of ``count`` events and schedule the others."""
         assert connection.transport is not None
-        connection.transport.write(HEAD + self._events[0])
+        connection.transport.write(RESPONSE_HEAD + self._events[0])
         self._groups[self._started % GROUPS][connection] = (1, count)
         self._started += 1
 
     def drop(self, connection: _Connection) -> None:
-        """Forget a connection that was lost."""
+        """Remove a closed connection."""
         for group in self._groups:
             group.pop(connection, None)
 
     async def run(self) -> None:
-        """Send events for ever."""
+        """Send events until cancelled."""
         loop = asyncio.get_running_loop()
         pause = self._interval / GROUPS
-        due = loop.time()
+        due_at = loop.time()
         while True:
             for group in self._groups:
-                due = max(due + pause, loop.time() - self._interval)
-                await asyncio.sleep(max(due - loop.time(), 0.0))
-                self._step(group)
+                due_at = max(due_at + pause, loop.time() - self._interval)
+                await asyncio.sleep(max(due_at - loop.time(), 0.0))
+                self._send_events(group)
 
-    def _step(self, group: dict[_Connection, tuple[int, int]]) -> None:
+    def _send_events(self, group: dict[_Connection, tuple[int, int]]) -> None:
         for connection, (sent, count) in list(group.items()):
             assert connection.transport is not None
             if sent >= count:
                 del group[connection]
-                connection.transport.write(done(count))
+                connection.transport.write(encode_end(count))
                 continue
             connection.transport.write(self._events[sent])
             group[connection] = (sent + 1, count)
 
 
 async def _serve(interval: float) -> None:
-    ended = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, ended.set)
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
     engine = FastEngine(interval)
     server = await loop.create_server(
         lambda: _Connection(engine), HOST, 0, backlog=2048
     )
     print(f"ready address={HOST}:{server.sockets[0].getsockname()[1]}", flush=True)
-    running = asyncio.create_task(engine.run())
-    await ended.wait()
-    running.cancel()
+    sender = asyncio.create_task(engine.run())
+    await stop_requested.wait()
+    sender.cancel()
     server.close()
 
 
--- a/packages/dev/cassiaquay_dev/standins/instance_list.py
+++ b/packages/dev/cassiaquay_dev/standins/instance_list.py
@@ -1,4 +1,4 @@
-"""Instance list of the platform stand-in, published with a lag."""
+"""Instance list of the platform stand-in, whose changes become visible with a lag."""
 
 import collections
 import time
@@ -21,16 +21,16 @@
 
 
 class InstanceList:
-    """Entries by name; a change is visible ``instances_lag_ms`` after its order."""
+    """Instances by name; a change is visible ``instances_lag_ms`` after its call."""
 
     def __init__(self, settings: platform_settings.PlatformSettings) -> None:
-        self._lag = settings.instances_lag_ms / 1000
+        self._lag_s = settings.instances_lag_ms / 1000
         self._visible: dict[str, Instance] = {}
-        self._due: collections.deque[tuple[float, str, Instance | None]]
-        self._due = collections.deque()
+        self._pending: collections.deque[tuple[float, str, Instance | None]]
+        self._pending = collections.deque()
 
     def routes(self) -> list[routing.Route]:
-        """Return the routes of the list and of its control."""
+        """Return the routes of the list and its control routes."""
         return [
             routing.Route("/v1/instances", self._get, methods=["GET"]),
             routing.Route("/control/instances", self._put, methods=["PUT"]),
@@ -41,8 +41,8 @@
 
     async def _get(self, request: requests.Request) -> responses.Response:
         now = time.monotonic()
-        while self._due and self._due[0][0] <= now:
-            _, name, entry = self._due.popleft()
+        while self._pending and self._pending[0][0] <= now:
+            _, name, entry = self._pending.popleft()
             if entry is None:
                 self._visible.pop(name, None)
                 continue
@@ -59,10 +59,10 @@
             "peer": body.get("peer", ""),
             "state": body.get("state", "live"),
         }
-        self._due.append((time.monotonic() + self._lag, entry["name"], entry))
+        self._pending.append((time.monotonic() + self._lag_s, entry["name"], entry))
         return responses.JSONResponse(entry)
 
     async def _delete(self, request: requests.Request) -> responses.Response:
         name = request.path_params["name"]
-        self._due.append((time.monotonic() + self._lag, name, None))
+        self._pending.append((time.monotonic() + self._lag_s, name, None))
         return responses.JSONResponse({"name": name})
--- a/packages/dev/cassiaquay_dev/standins/plain.py
+++ b/packages/dev/cassiaquay_dev/standins/plain.py
@@ -1,8 +1,8 @@
 """Plain service stand-in: a queue, a number of slots and a service time.
 
 Run as ``python -m cassiaquay_dev.standins.plain --slots 8`` with the fields of
-`PlainSettings` as flags. It answers any POST outside ``/control`` and knows nothing of
-repeats: it runs each request that it gets, and logs it.
+`PlainSettings` as flags. It answers any POST outside ``/control`` and does not detect
+repeats: it runs and logs each request that it receives.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class Run(typing.TypedDict):
-    """One run; ``at`` and ``finished_at`` are seconds since 1970."""
+    """Log entry of one run; ``at`` and ``finished_at`` are seconds since 1970."""
 
     id: str
     path: str
@@ -46,7 +46,7 @@
 
 
 class Plain:
-    """One plain service with its HTTP interface."""
+    """One plain service and its HTTP interface."""
 
     def __init__(self, settings: PlainSettings) -> None:
         self.runs: list[Run] = []
@@ -66,13 +66,13 @@
         self._not_hung.set()
         self._slow_factor = 1.0
         self._fail_share = 0.0
-        self._seen: set[str] = set()
+        self._seen_ids: set[str] = set()
 
     def start(self) -> None:
-        """Do nothing: a plain service has no task of its own."""
+        """Do nothing: a plain service has no background task."""
 
     async def stop(self) -> None:
-        """Let go of hung runs."""
+        """Release the runs that a hang suspended."""
         self._not_hung.set()
 
     async def _run(self, request: requests.Request) -> responses.Response:
@@ -101,9 +101,9 @@
             "at": time.time(),
             "finished_at": None,
             "state": RUNNING,
-            "repeat": bool(request_id) and request_id in self._seen,
+            "repeat": bool(request_id) and request_id in self._seen_ids,
         }
-        self._seen.add(request_id)
+        self._seen_ids.add(request_id)
         self.runs.append(run)
         return run
 
--- a/packages/dev/cassiaquay_dev/standins/platform.py
+++ b/packages/dev/cassiaquay_dev/standins/platform.py
@@ -13,7 +13,7 @@
 
 
 class Platform:
-    """The three services behind one port."""
+    """The three services of the platform behind one port."""
 
     def __init__(self, settings: platform_settings.PlatformSettings) -> None:
         self.config = config_service.ConfigService(settings)
@@ -28,10 +28,10 @@
         )
 
     def start(self) -> None:
-        """Do nothing: the services have no tasks of their own."""
+        """Do nothing: the services have no background tasks."""
 
     async def stop(self) -> None:
-        """Do nothing."""
+        """Do nothing: there are no tasks to stop."""
 
 
 def main(**flags: typing.Any) -> None:
--- a/packages/dev/cassiaquay_dev/standins/platform_settings.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_settings.py
@@ -6,9 +6,10 @@
 class PlatformSettings(typing.NamedTuple):
     """Settings of the platform; each is a command-line flag of the same name.
 
-    ``config_calls`` calls are allowed in each window of ``config_window_seconds``;
-    0 is no limit. ``weights_concurrent`` and ``weights_per_second`` limit transfers
-    of the weight store. ``config_file`` gives the text of revision 1.
+    The configuration service allows ``config_calls`` calls in each window of
+    ``config_window_seconds``; 0 means no limit. ``weights_concurrent`` and
+    ``weights_per_second`` limit the transfers of the weight store. ``config_file`` is
+    the file with the text of revision 1.
     """
 
     port: int = 0
--- a/packages/dev/cassiaquay_dev/standins/platform_standins.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_standins.py
@@ -1,4 +1,4 @@
-"""The users' platform, small: its store, its engines and its configuration document."""
+"""Minimal stand-ins for the users' platform: store, engines, configuration document."""
 
 import base64
 import json
@@ -8,12 +8,12 @@
 from . import raw_servers
 
 HOST = "host.example"
-# Events of a whole answer.
+# Events of a complete answer.
 PIECES = 6
 
 
 class Store(raw_servers.RawServer):
-    """The platform's store: one configuration and the servers' entries."""
+    """The platform's key-value store: the configuration and the servers' entries."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,7 +22,7 @@
         self.items: dict[str, tuple[int, bytes]] = {}
 
     def put(self, key: str, value: object) -> None:
-        """Write a key; bytes as they are, anything else as JSON."""
+        """Write a key; bytes are stored unchanged, other values as JSON."""
         self.revision += 1
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.items[key] = (self.revision, data)
@@ -35,16 +35,16 @@
     async def respond(
         self, request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        """Answer a read."""
+        """Answer a read of a key or of a range of keys."""
         path, _, query = request.target.partition("?")
-        asked = dict(urllib.parse.parse_qsl(query))
+        parameters = dict(urllib.parse.parse_qsl(query))
         status, body = 404, {}
         if self.down:
             status = 503
-        elif path == "/cassiaquay/kv-key" and asked["key"] in self.items:
-            status, body = 200, self._item(asked["key"])
+        elif path == "/cassiaquay/kv-key" and parameters["key"] in self.items:
+            status, body = 200, self._item(parameters["key"])
         elif path == "/cassiaquay/kv-range":
-            status, body = 200, self._page(asked)
+            status, body = 200, self._page(parameters)
         data = json.dumps(body | {"current-rev": self.revision}).encode()
         writer.write(
             b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, len(data))
@@ -63,9 +63,9 @@
             "lease": 0,
         }
 
-    def _page(self, asked: dict[str, str]) -> dict[str, typing.Any]:
-        keys = [key for key in sorted(self.items) if key > asked.get("after", "")]
-        keys = [key for key in keys if key.startswith(asked["path-prefix"])]
+    def _page(self, parameters: dict[str, str]) -> dict[str, typing.Any]:
+        keys = [key for key in sorted(self.items) if key > parameters.get("after", "")]
+        keys = [key for key in keys if key.startswith(parameters["path-prefix"])]
         return {
             "items": [self._item(key) for key in keys[:2]],
             "truncated": len(keys) > 2,
@@ -73,7 +73,7 @@
 
 
 class Engine(raw_servers.RawServer):
-    """A backend server that answers as `act` says."""
+    """A backend server whose answers the callable `act` writes."""
 
     def __init__(self, name: str):
         super().__init__()
@@ -82,15 +82,15 @@
 
     @property
     def runs(self) -> list[str]:
-        """Attempts that it got."""
+        """Attempt ids of the requests that it received."""
         return [request.attempt for request in self.requests]
 
     async def respond(
         self, request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        """Answer a request, unless it was meant for another server."""
-        meant = request.headers["cassiaquay-expect-instance"]
-        if meant.removesuffix("-plain") != self.name:
+        """Answer a request; send 421 if it is addressed to another server."""
+        expected_instance = request.headers["cassiaquay-expect-instance"]
+        if expected_instance.removesuffix("-plain") != self.name:
             await raw_servers.send(
                 writer, 421, b"", {"Cassiaquay-Instance-Id": self.name}
             )
@@ -99,7 +99,7 @@
 
 
 def seal(request: raw_servers.Request) -> dict[str, str]:
-    """Return the headers of a server's own answer."""
+    """Return the headers that mark an answer as the server's own."""
     return {
         "Cassiaquay-Attempt-Id": request.attempt,
         "Cassiaquay-Response-Seal": f"seal-{request.attempt}",
@@ -107,7 +107,7 @@
 
 
 async def whole(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-    """Answer well: events for a stream, a body otherwise."""
+    """Send a complete 200 answer: all events for a stream, a body otherwise."""
     if not request.target.startswith("/s"):
         await raw_servers.send(
             writer, 200, b"body of " + request.attempt.encode(), seal(request)
@@ -120,7 +120,7 @@
 
 
 async def begin(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-    """Write the head of a stream."""
+    """Write the response head of a stream."""
     head = "".join(f"{name}: {value}\r\n" for name, value in seal(request).items())
     writer.write(f"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n{head}\r\n".encode())
 
@@ -128,7 +128,7 @@
 async def pieces(
     request: raw_servers.Request, writer: raw_servers.Writer, until: int
 ) -> None:
-    """Write events from where the request goes on until a number."""
+    """Write the events up to ``until``, from the first one that the request lacks."""
     first = int(request.headers.get("last-event-id", "-1")) + 1
     for number in range(first, until):
         event = b"id: %d\ndata: piece %d\n\n" % (number, number)
@@ -137,14 +137,14 @@
 
 
 def stream(until: int = PIECES) -> bytes:
-    """Return the events of a whole answer."""
+    """Return the events 0 to ``until - 1`` as event-stream bytes."""
     return b"".join(
         b"id: %d\ndata: piece %d\n\n" % (number, number) for number in range(until)
     )
 
 
 def route(
-    prefix: str, kind: str, service: str, **more: object
+    prefix: str, kind: str, service: str, **overrides: object
 ) -> dict[str, typing.Any]:
     """Return one route of the configuration."""
     return {
@@ -158,7 +158,7 @@
         "priority": 0,
         "attempts": 2,
         "gap-target-ms": 300,
-    } | more
+    } | overrides
 
 
 ROUTES = [
@@ -170,7 +170,7 @@
 ]
 
 
-def configuration(version: int = 1, **more: object) -> dict[str, typing.Any]:
+def configuration(version: int = 1, **overrides: object) -> dict[str, typing.Any]:
     """Return a configuration document."""
     return {
         "version": version,
@@ -181,4 +181,4 @@
         ],
         "limits": {"max-body-bytes": 100_000},
         "tenants": [{"name": "blue", "api-keys": ["key"]}],
-    } | more
+    } | overrides
--- a/packages/dev/cassiaquay_dev/standins/prefix_cache.py
+++ b/packages/dev/cassiaquay_dev/standins/prefix_cache.py
@@ -1,15 +1,15 @@
-"""Prefix cache of the model engine stand-in and its late events with gaps."""
+"""Prefix cache of the model engine stand-in, and its delayed, lossy event log."""
 
 import collections
 import random
 import time
 import typing
 
-KEPT_EVENTS = 10_000
+MAX_STORED_EVENTS = 10_000
 
 
 class CacheEvent(typing.TypedDict):
-    """One change of the cache: ``kind`` is ``stored`` or ``removed``."""
+    """One change of the cache; ``kind`` is ``stored`` or ``removed``."""
 
     sequence: int
     kind: str
@@ -17,7 +17,7 @@
 
 
 class CacheEvents:
-    """Log of cache events, readable ``lag`` seconds late.
+    """Log of cache events, published with a delay of ``lag`` seconds.
 
     Parameters
     ----------
@@ -26,51 +26,51 @@
     gap_share : float
         Share of the events, 0 to 1, that is lost; each leaves a gap in ``sequence``.
     seed : int
-        Seed of the choice of lost events.
+        Seed of the random choice of lost events.
     """
 
     def __init__(self, lag: float, gap_share: float, seed: int) -> None:
-        self._lag = lag
+        self._lag_s = lag
         self._gap_share = gap_share
         self._random = random.Random(seed)
         self._sequence = 0
         self._published = 0
-        self._due: collections.deque[tuple[float, int, CacheEvent | None]]
-        self._due = collections.deque()
+        self._pending: collections.deque[tuple[float, int, CacheEvent | None]]
+        self._pending = collections.deque()
         self._events: collections.deque[CacheEvent]
-        self._events = collections.deque(maxlen=KEPT_EVENTS)
+        self._events = collections.deque(maxlen=MAX_STORED_EVENTS)
 
     def add(self, kind: str, blocks: list[int]) -> None:
-        """Record an event, to be published later or lost."""
+        """Record an event, which is published after the lag or lost."""
         self._sequence += 1
         event: CacheEvent | None
         event = {"sequence": self._sequence, "kind": kind, "blocks": blocks}
         if self._random.random() < self._gap_share:
             event = None
-        self._due.append((time.monotonic() + self._lag, self._sequence, event))
+        self._pending.append((time.monotonic() + self._lag_s, self._sequence, event))
         self._publish()
 
     def read(self, after: int) -> tuple[int, list[CacheEvent]]:
-        """Return the last published number and the events after ``after``."""
+        """Return the last published sequence number and the events after ``after``."""
         self._publish()
         events = [event for event in self._events if event["sequence"] > after]
         return self._published, events
 
     def _publish(self) -> None:
         now = time.monotonic()
-        while self._due and self._due[0][0] <= now:
-            _, self._published, event = self._due.popleft()
+        while self._pending and self._pending[0][0] <= now:
+            _, self._published, event = self._pending.popleft()
             if event is not None:
                 self._events.append(event)
 
 
 class PrefixCache:
-    """Cached blocks, the least recently used removed first.
+    """Cached blocks with eviction of the least recently used.
 
     Parameters
     ----------
     capacity : int
-        Most blocks that are kept.
+        Maximum number of blocks.
     events : CacheEvents
         Receives each change.
     """
@@ -81,7 +81,7 @@
         self._blocks: collections.OrderedDict[int, None] = collections.OrderedDict()
 
     def match(self, hashes: list[int]) -> int:
-        """Return how many leading blocks are cached, and mark them as used."""
+        """Return the number of leading blocks that are cached; mark them as used."""
         count = 0
         for block in hashes:
             if block not in self._blocks:
@@ -93,15 +93,15 @@
     def touch(self, hashes: list[int]) -> None:
         """Mark blocks of one prompt as used.
 
-        The first block becomes the most recent one: without it those that follow
-        could not be matched any more.
+        The first block becomes the most recently used, so that it is evicted last:
+        the blocks after it can only be matched through it.
         """
         for block in reversed(hashes):
             if block in self._blocks:
                 self._blocks.move_to_end(block)
 
     def store(self, hashes: list[int]) -> None:
-        """Add blocks and remove the least recently used ones over the capacity."""
+        """Add blocks and evict the least recently used above the capacity."""
         added = [block for block in hashes if block not in self._blocks]
         for block in added:
             self._blocks[block] = None
--- a/packages/dev/cassiaquay_dev/standins/raw_servers.py
+++ b/packages/dev/cassiaquay_dev/standins/raw_servers.py
@@ -1,4 +1,4 @@
-"""HTTP servers whose answers are written byte by byte, also wrong ones."""
+"""HTTP servers that write raw response bytes, so that tests can send invalid ones."""
 
 import asyncio
 import collections.abc
@@ -10,7 +10,7 @@
 
 
 class Request(typing.NamedTuple):
-    """One request as a server or the store got it."""
+    """One request as received by a backend server or the store."""
 
     method: str
     target: str
@@ -19,7 +19,7 @@
 
     @property
     def attempt(self) -> str:
-        """The caller's id."""
+        """The attempt id, chosen by the caller; empty if the header is missing."""
         return self.headers.get("cassiaquay-attempt-id", "")
 
 
@@ -28,7 +28,11 @@
 
 
 class RawServer(listening.Listener):
-    """An HTTP server whose answers are written byte by byte."""
+    """An HTTP server whose subclasses write raw response bytes.
+
+    ``closed_under`` lists the attempt ids of requests whose connection the client
+    closed before the answer was complete.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -51,7 +55,7 @@
     async def _serve(
         self, request: Request, reader: asyncio.StreamReader, writer: Writer
     ) -> bool:
-        """Answer one request; return whether the connection goes on."""
+        """Answer one request; return whether the connection stays open."""
         self.requests.append(request)
         work = asyncio.create_task(self.respond(request, writer))
         closed = asyncio.create_task(reader.read(1))
@@ -95,7 +99,7 @@
 async def send(
     writer: Writer, status: int, body: bytes, headers: dict[str, str]
 ) -> None:
-    """Write an answer with a length."""
+    """Write a response with a content length."""
     head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     writer.write(
         f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{head}\r\n".encode()
@@ -105,7 +109,7 @@
 
 
 def reset(writer: Writer) -> None:
-    """Reset a connection, as a crashed server's machine does."""
-    bound = writer.get_extra_info("socket")
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    """Reset a connection, as the machine of a crashed server does."""
+    sock = writer.get_extra_info("socket")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
--- a/packages/dev/cassiaquay_dev/standins/serving.py
+++ b/packages/dev/cassiaquay_dev/standins/serving.py
@@ -16,42 +16,42 @@
 BACKLOG = 2048
 GRACEFUL_SECONDS = 1
 START_POLL_SECONDS = 0.005
-CUT_MESSAGE = "ASGI callable returned without completing response."
+INCOMPLETE_RESPONSE_MESSAGE = "ASGI callable returned without completing response."
 
 
 class StandIn(typing.Protocol):
-    """An application with tasks of its own."""
+    """An application with background tasks."""
 
     app: applications.Starlette
 
     def start(self) -> None:
-        """Start the tasks; called in the event loop."""
+        """Start the background tasks; called inside the event loop."""
 
     async def stop(self) -> None:
-        """Stop the tasks."""
+        """Stop the background tasks."""
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves signals to `run`, so that several share a process."""
+    """A server without signal handlers, so that several can share a process."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> collections.abc.Iterator[None]:
         yield
 
 
-def _is_not_cut(record: logging.LogRecord) -> bool:
-    return CUT_MESSAGE not in record.getMessage()
+def _accept_record(record: logging.LogRecord) -> bool:
+    return INCOMPLETE_RESPONSE_MESSAGE not in record.getMessage()
 
 
 class Served:
-    """One stand-in that listens.
+    """One stand-in and the server that listens for it.
 
     Parameters
     ----------
     stand_in : StandIn
-        What to serve.
+        The stand-in to serve.
     port : int
-        Port, 0 for an ephemeral one.
+        Port to listen on; 0 for an ephemeral one.
     """
 
     def __init__(self, stand_in: StandIn, port: int = 0) -> None:
@@ -67,18 +67,18 @@
             backlog=BACKLOG,
             timeout_graceful_shutdown=GRACEFUL_SECONDS,
         )
-        # Connections cut by order are no errors worth a line.
-        logging.getLogger("uvicorn.error").addFilter(_is_not_cut)
+        # Connections that a fault cuts on purpose must not be logged as errors.
+        logging.getLogger("uvicorn.error").addFilter(_accept_record)
         self._server = _Server(config)
         self._task: asyncio.Task[None] | None = None
 
     @property
     def address(self) -> str:
-        """Host and port."""
+        """Listening address as host:port."""
         return f"{HOST}:{self._socket.getsockname()[1]}"
 
     async def start(self) -> None:
-        """Listen; returns when connections are accepted."""
+        """Start to listen; return when the server accepts connections."""
         self._stand_in.start()
         self._task = asyncio.create_task(self._server.serve(sockets=[self._socket]))
         while not self._server.started:
@@ -88,7 +88,7 @@
             await asyncio.sleep(START_POLL_SECONDS)
 
     async def stop(self) -> None:
-        """Close the connections and stop the tasks."""
+        """Close the connections and stop the background tasks."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
@@ -99,27 +99,27 @@
 async def _serve(
     create: collections.abc.Callable[[], list[tuple[StandIn, int]]],
 ) -> None:
-    ended = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+        loop.add_signal_handler(number, stop_requested.set)
     served = [Served(stand_in, port) for stand_in, port in create()]
     for one in served:
         await one.start()
         print(f"ready address={one.address}", flush=True)
-    await ended.wait()
+    await stop_requested.wait()
     await asyncio.gather(*(one.stop() for one in served))
 
 
 def run(create: collections.abc.Callable[[], list[tuple[StandIn, int]]]) -> None:
     """Serve stand-ins until SIGTERM or SIGINT.
 
-    Prints ``ready address=HOST:PORT`` for each, in order, once it listens.
+    Prints ``ready address=HOST:PORT`` for each, in order, when it listens.
 
     Parameters
     ----------
     create : callable
-        Makes the stand-ins, each with its port, inside the event loop.
+        Creates the stand-ins, each with its port; called inside the event loop.
     """
     try:
         factory = importlib.import_module("uvloop").new_event_loop
--- a/packages/dev/cassiaquay_dev/standins/texts.py
+++ b/packages/dev/cassiaquay_dev/standins/texts.py
@@ -1,4 +1,4 @@
-"""Texts of the model engine stand-in, known in advance to a checker."""
+"""Texts that the model engine stand-in generates, computable by a checker."""
 
 import xxhash
 
--- a/packages/dev/cassiaquay_dev/standins/weight_store.py
+++ b/packages/dev/cassiaquay_dev/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Weight store of the platform stand-in: transfers under two limits."""
+"""Weight store of the platform stand-in, with limits on concurrency and rate."""
 
 import asyncio
 import time
@@ -10,7 +10,7 @@
 
 
 class Transfer(typing.TypedDict):
-    """One call; ``at`` is seconds since 1970."""
+    """Log entry of one call; ``at`` is seconds since 1970."""
 
     model: str
     version: str
@@ -19,18 +19,18 @@
 
 
 class WeightStore:
-    """Limits transfers at a time and transfers started per second."""
+    """Serves weights; limits concurrent transfers and transfer starts per second."""
 
     def __init__(self, settings: platform_settings.PlatformSettings) -> None:
         self.transfers: list[Transfer] = []
         self._settings = settings
         self._running = 0
-        self._refuse = False
-        self._allowed = max(1.0, settings.weights_per_second)
+        self._refuse_all = False
+        self._rate_tokens = max(1.0, settings.weights_per_second)
         self._refilled_at = time.monotonic()
 
     def routes(self) -> list[routing.Route]:
-        """Return the routes of the store and of its control."""
+        """Return the routes of the store and its control routes."""
         return [
             routing.Route("/v1/weights/{model}/{version}", self._get, methods=["GET"]),
             routing.Route("/control/weights", self._log, methods=["GET"]),
@@ -42,12 +42,12 @@
         now = time.monotonic()
         refill = (now - self._refilled_at) * rate
         self._refilled_at = now
-        self._allowed = min(max(1.0, rate), self._allowed + refill)
-        if self._refuse or self._running >= self._settings.weights_concurrent:
+        self._rate_tokens = min(max(1.0, rate), self._rate_tokens + refill)
+        if self._refuse_all or self._running >= self._settings.weights_concurrent:
             return False
-        if self._allowed < 1:
+        if self._rate_tokens < 1:
             return False
-        self._allowed -= 1
+        self._rate_tokens -= 1
         return True
 
     async def _get(self, request: requests.Request) -> responses.Response:
@@ -71,8 +71,8 @@
         return responses.JSONResponse({"model": model, "version": version})
 
     async def _set_refuse(self, request: requests.Request) -> responses.Response:
-        self._refuse = bool((await request.json())["refuse"])
-        return responses.JSONResponse({"refuse": self._refuse})
+        self._refuse_all = bool((await request.json())["refuse"])
+        return responses.JSONResponse({"refuse": self._refuse_all})
 
     async def _log(self, request: requests.Request) -> responses.Response:
         return responses.JSONResponse({"transfers": self.transfers})
