--- a/packages/dev/cassiaquay_dev/standins/platform_standins.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_standins.py
@@ -9,7 +9,7 @@
 
 HOST = "host.example"
 # Events of a complete answer.
-PIECES = 6
+EVENT_COUNT = 6
 
 
 class Store(raw_servers.RawServer):
@@ -114,7 +114,7 @@
         )
         return
     await begin(request, writer)
-    await pieces(request, writer, PIECES)
+    await pieces(request, writer, EVENT_COUNT)
     writer.write(b"0\r\n\r\n")
     await writer.drain()
 
@@ -136,7 +136,7 @@
         await writer.drain()
 
 
-def stream(until: int = PIECES) -> bytes:
+def stream(until: int = EVENT_COUNT) -> bytes:
     """Return the events 0 to ``until - 1`` as event-stream bytes."""
     return b"".join(
         b"id: %d\ndata: piece %d\n\n" % (number, number) for number in range(until)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -53,7 +53,7 @@
         await raw_servers_rest(writer)
 
     async def raw_servers_rest(writer: raw_servers.Writer) -> None:
-        for number in range(2, standins.PIECES):
+        for number in range(2, standins.EVENT_COUNT):
             event = b"id: %d\ndata: piece %d\n\n" % (number, number)
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
         writer.write(b"0\r\n\r\n")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -228,7 +228,7 @@
             return
         bare = request._replace(headers={"cassiaquay-attempt-id": request.attempt})
         await standins.begin(bare, writer)
-        await standins.pieces(bare, writer, standins.PIECES)
+        await standins.pieces(bare, writer, standins.EVENT_COUNT)
         writer.write(b"0\r\n\r\n")
 
     async def work(site: fakes.Site) -> None:
@@ -459,7 +459,7 @@
 
     async def slow(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
         await standins.begin(request, writer)
-        for until in range(1, standins.PIECES + 1):
+        for until in range(1, standins.EVENT_COUNT + 1):
             bare = dict(request.headers)
             bare["last-event-id"] = str(until - 2)
             await standins.pieces(request._replace(headers=bare), writer, until)
