--- a/packages/dev/cassiaquay_dev/standins/platform_standins.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_standins.py
@@ -114,7 +114,7 @@
         )
         return
     await begin(request, writer)
-    await pieces(request, writer, EVENT_COUNT)
+    await write_events(request, writer, EVENT_COUNT)
     writer.write(b"0\r\n\r\n")
     await writer.drain()
 
@@ -125,7 +125,7 @@
     writer.write(f"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n{head}\r\n".encode())
 
 
-async def pieces(
+async def write_events(
     request: raw_servers.Request, writer: raw_servers.Writer, until: int
 ) -> None:
     """Write the events up to ``until``, from the first one that the request lacks."""
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -165,7 +165,7 @@
 
     async def cut(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
         await standins.begin(request, writer)
-        await standins.pieces(request, writer, 3)
+        await standins.write_events(request, writer, 3)
         writer.write(b"a\r\nid: 3\ndata")
         await writer.drain()
         await asyncio.sleep(0.05)
@@ -201,7 +201,7 @@
 
     async def mute(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
         await standins.begin(request, writer)
-        await standins.pieces(request, writer, 2)
+        await standins.write_events(request, writer, 2)
         await asyncio.sleep(60)
 
     async def work(site: fakes.Site) -> None:
@@ -219,7 +219,7 @@
 
     async def cut(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
         await standins.begin(request, writer)
-        await standins.pieces(request, writer, 2)
+        await standins.write_events(request, writer, 2)
         raw_servers.reset(writer)
 
     async def anew(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
@@ -228,7 +228,7 @@
             return
         bare = request._replace(headers={"cassiaquay-attempt-id": request.attempt})
         await standins.begin(bare, writer)
-        await standins.pieces(bare, writer, standins.EVENT_COUNT)
+        await standins.write_events(bare, writer, standins.EVENT_COUNT)
         writer.write(b"0\r\n\r\n")
 
     async def work(site: fakes.Site) -> None:
@@ -462,7 +462,7 @@
         for until in range(1, standins.EVENT_COUNT + 1):
             bare = dict(request.headers)
             bare["last-event-id"] = str(until - 2)
-            await standins.pieces(request._replace(headers=bare), writer, until)
+            await standins.write_events(request._replace(headers=bare), writer, until)
             await asyncio.sleep(0.1)
         writer.write(b"0\r\n\r\n")
 
