--- a/packages/dev/cassiaquay_dev/standins/platform_standins.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_standins.py
@@ -78,7 +78,7 @@
     def __init__(self, name: str):
         super().__init__()
         self.name = name
-        self.act: raw_servers.Respond = whole
+        self.act: raw_servers.Respond = send_complete_answer
 
     @property
     def runs(self) -> list[str]:
@@ -106,7 +106,9 @@
     }
 
 
-async def whole(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+async def send_complete_answer(
+    request: raw_servers.Request, writer: raw_servers.Writer
+) -> None:
     """Send a complete 200 answer: all events for a stream, a body otherwise."""
     if not request.target.startswith("/s"):
         await raw_servers.send(
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -160,7 +160,7 @@
             request: raw_servers.Request, writer: raw_servers.Writer
         ) -> None:
             if request.attempt in seen:
-                await standins.whole(request, writer)
+                await standins.send_complete_answer(request, writer)
                 return
             seen.add(request.attempt)
             await act(request, writer)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -27,7 +27,7 @@
         self, request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
         if request.body != POISON:
-            await standins.whole(request, writer)
+            await standins.send_complete_answer(request, writer)
             return
         self.arrivals.append(request.attempt)
         name = request.headers["cassiaquay-expect-instance"].removesuffix("-plain")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -249,7 +249,7 @@
     """
 
     async def twice(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-        await standins.whole(request, writer)
+        await standins.send_complete_answer(request, writer)
         await raw_servers.send(writer, 200, b"stray", standins.seal(request))
 
     async def work(site: fakes.Site) -> None:
@@ -475,7 +475,7 @@
         site.daemons[0]._stopping.set()
         await asyncio.sleep(0.1)
         for engine in site.engines:
-            engine.act = standins.whole
+            engine.act = standins.send_complete_answer
         late = await site.ask("/book/x")
         assert late.status == 200
         assert late.headers["connection"] == "close"
