--- a/packages/dev/cassiaquay_dev/standins/platform_standins.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_standins.py
@@ -115,13 +115,15 @@
             writer, 200, b"body of " + request.attempt.encode(), seal(request)
         )
         return
-    await begin(request, writer)
+    await write_stream_head(request, writer)
     await write_events(request, writer, EVENT_COUNT)
     writer.write(b"0\r\n\r\n")
     await writer.drain()
 
 
-async def begin(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
+async def write_stream_head(
+    request: raw_servers.Request, writer: raw_servers.Writer
+) -> None:
     """Write the response head of a stream."""
     head = "".join(f"{name}: {value}\r\n" for name, value in seal(request).items())
     writer.write(f"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n{head}\r\n".encode())
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -47,7 +47,7 @@
     going_on = asyncio.Event()
 
     async def slowly(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-        await standins.begin(request, writer)
+        await standins.write_stream_head(request, writer)
         await standins.write_events(request, writer, 2)
         await going_on.wait()
         await raw_servers_rest(writer)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -164,7 +164,7 @@
     """
 
     async def cut(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-        await standins.begin(request, writer)
+        await standins.write_stream_head(request, writer)
         await standins.write_events(request, writer, 3)
         writer.write(b"a\r\nid: 3\ndata")
         await writer.drain()
@@ -200,7 +200,7 @@
     """
 
     async def mute(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-        await standins.begin(request, writer)
+        await standins.write_stream_head(request, writer)
         await standins.write_events(request, writer, 2)
         await asyncio.sleep(60)
 
@@ -218,7 +218,7 @@
     """Asked to go on behind event 1, the other server sends event 0 again."""
 
     async def cut(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-        await standins.begin(request, writer)
+        await standins.write_stream_head(request, writer)
         await standins.write_events(request, writer, 2)
         raw_servers.reset(writer)
 
@@ -227,7 +227,7 @@
             await cut(request, writer)
             return
         bare = request._replace(headers={"cassiaquay-attempt-id": request.attempt})
-        await standins.begin(bare, writer)
+        await standins.write_stream_head(bare, writer)
         await standins.write_events(bare, writer, standins.EVENT_COUNT)
         writer.write(b"0\r\n\r\n")
 
@@ -458,7 +458,7 @@
     """
 
     async def slow(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-        await standins.begin(request, writer)
+        await standins.write_stream_head(request, writer)
         for until in range(1, standins.EVENT_COUNT + 1):
             bare = dict(request.headers)
             bare["last-event-id"] = str(until - 2)
