--- a/packages/dev/cassiaquay_dev/standins/platform_standins.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_standins.py
@@ -140,7 +140,7 @@
         await writer.drain()
 
 
-def stream(until: int = EVENT_COUNT) -> bytes:
+def stream_events(until: int = EVENT_COUNT) -> bytes:
     """Return the events 0 to ``until - 1`` as event-stream bytes."""
     return b"".join(
         b"id: %d\ndata: piece %d\n\n" % (number, number) for number in range(until)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -55,7 +55,7 @@
             assert got.status == 503
         assert len(crashes.arrivals) == before
         got = await site.ask("/stream/x")
-        assert (got.status, got.body) == (200, standins.stream())
+        assert (got.status, got.body) == (200, standins.stream_events())
 
     fakes.run(work, 3)
 
@@ -72,7 +72,7 @@
         site.let(reset)
         for number in range(6):
             got = await site.ask("/stream/x", at=number % 2)
-            assert (got.status, got.body) == (200, standins.stream())
+            assert (got.status, got.body) == (200, standins.stream_events())
 
     fakes.run(work, 2)
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -70,7 +70,7 @@
         going_on.set()
         got = await asking
         assert (got.status, got.complete) == (200, True)
-        assert got.body == standins.stream()
+        assert got.body == standins.stream_events()
 
     fakes.run(work)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -46,7 +46,7 @@
     async def work(site: fakes.Site) -> None:
         got = await site.ask("/stream/x")
         assert (got.status, got.complete) == (200, True)
-        assert got.body == standins.stream()
+        assert got.body == standins.stream_events()
 
     fakes.run(work)
 
@@ -175,7 +175,7 @@
         site.let(cut)
         got = await site.ask(path)
         if path == "/stream/x":
-            assert (got.body, got.complete) == (standins.stream(), True)
+            assert (got.body, got.complete) == (standins.stream_events(), True)
             assert len(site.engine_of(got.attempt)) == 2
             [second] = [
                 request
@@ -186,7 +186,7 @@
             assert second.headers["last-event-id"] == "2"
         else:
             assert not got.complete
-            assert standins.stream().startswith(got.body)
+            assert standins.stream_events().startswith(got.body)
             assert len(site.engine_of(got.attempt)) == 1
 
     fakes.run(work)
@@ -207,7 +207,7 @@
     async def work(site: fakes.Site) -> None:
         site.let(mute)
         got = await site.ask("/stream/x")
-        assert (got.body, got.complete) == (standins.stream(), True)
+        assert (got.body, got.complete) == (standins.stream_events(), True)
         closed = [name for engine in site.engines for name in engine.closed_under]
         assert closed == [got.attempt]
 
@@ -236,7 +236,7 @@
             engine.act = anew
         got = await site.ask("/stream/x")
         assert not got.complete
-        assert standins.stream(2).startswith(got.body)
+        assert standins.stream_events(2).startswith(got.body)
 
     fakes.run(work)
 
@@ -490,7 +490,7 @@
                     break
             await asyncio.sleep(0.02)
         got = await asking
-        assert (got.body, got.complete) == (standins.stream(), True)
+        assert (got.body, got.complete) == (standins.stream_events(), True)
 
     fakes.run(work, 2)
 
