--- a/packages/dev/cassiaquay_dev/standins/platform_standins.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_standins.py
@@ -98,7 +98,7 @@
         await self.act(request, writer)
 
 
-def seal(request: raw_servers.Request) -> dict[str, str]:
+def seal_headers(request: raw_servers.Request) -> dict[str, str]:
     """Return the headers that mark an answer as the server's own."""
     return {
         "Cassiaquay-Attempt-Id": request.attempt,
@@ -112,7 +112,7 @@
     """Send a complete 200 answer: all events for a stream, a body otherwise."""
     if not request.target.startswith("/s"):
         await raw_servers.send(
-            writer, 200, b"body of " + request.attempt.encode(), seal(request)
+            writer, 200, b"body of " + request.attempt.encode(), seal_headers(request)
         )
         return
     await write_stream_head(request, writer)
@@ -125,7 +125,9 @@
     request: raw_servers.Request, writer: raw_servers.Writer
 ) -> None:
     """Write the response head of a stream."""
-    head = "".join(f"{name}: {value}\r\n" for name, value in seal(request).items())
+    head = "".join(
+        f"{name}: {value}\r\n" for name, value in seal_headers(request).items()
+    )
     writer.write(f"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n{head}\r\n".encode())
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -22,7 +22,7 @@
 
 
 async def _failing(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-    await raw_servers.send(writer, 500, b"broken", standins.seal(request))
+    await raw_servers.send(writer, 500, b"broken", standins.seal_headers(request))
 
 
 def test_an_answer_comes_through_unchanged() -> None:
@@ -250,7 +250,7 @@
 
     async def twice(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
         await standins.send_complete_answer(request, writer)
-        await raw_servers.send(writer, 200, b"stray", standins.seal(request))
+        await raw_servers.send(writer, 200, b"stray", standins.seal_headers(request))
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
@@ -271,7 +271,9 @@
     async def unframed(
         request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        head = "".join(f"{k}: {v}\r\n" for k, v in standins.seal(request).items())
+        head = "".join(
+            f"{k}: {v}\r\n" for k, v in standins.seal_headers(request).items()
+        )
         writer.write(f"HTTP/1.1 200 X\r\n{head}\r\npart".encode())
         await writer.drain()
         await asyncio.sleep(0.05)
