--- a/packages/dev/cassiaquay_dev/standins/raw_servers.py
+++ b/packages/dev/cassiaquay_dev/standins/raw_servers.py
@@ -30,14 +30,14 @@
 class RawServer(listening.Listener):
     """An HTTP server whose subclasses write raw response bytes.
 
-    ``closed_under`` lists the attempt ids of requests whose connection the client
+    ``aborted_attempts`` lists the attempt ids of requests whose connection the client
     closed before the answer was complete.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.requests: list[Request] = []
-        self.closed_under: list[str] = []
+        self.aborted_attempts: list[str] = []
 
     async def respond(self, request: Request, writer: Writer) -> None:
         """Answer one request."""
@@ -68,7 +68,7 @@
                 task.cancel()
             answered, early = await asyncio.gather(work, closed, return_exceptions=True)
         if work not in done:
-            self.closed_under.append(request.attempt)
+            self.aborted_attempts.append(request.attempt)
             return False
         if isinstance(answered, BaseException):
             # uvloop raises RuntimeError where asyncio raises ConnectionError.
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -208,7 +208,7 @@
         site.let(mute)
         got = await site.ask("/stream/x")
         assert (got.body, got.complete) == (standins.stream_events(), True)
-        closed = [name for engine in site.engines for name in engine.closed_under]
+        closed = [name for engine in site.engines for name in engine.aborted_attempts]
         assert closed == [got.attempt]
 
     fakes.run(work)
@@ -323,11 +323,11 @@
         asking.cancel()
         await asyncio.gather(asking, return_exceptions=True)
         if path == "/stream/x":
-            while not any(engine.closed_under for engine in site.engines):
+            while not any(engine.aborted_attempts for engine in site.engines):
                 await asyncio.sleep(0.01)
         else:
             await asyncio.sleep(0.3)
-            assert not any(engine.closed_under for engine in site.engines)
+            assert not any(engine.aborted_attempts for engine in site.engines)
 
     fakes.run(work)
 
