--- a/packages/dev/cassiaquay_dev/standins/platform_standins.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_standins.py
@@ -73,12 +73,12 @@
 
 
 class Engine(raw_servers.RawServer):
-    """A backend server whose answers the callable `act` writes."""
+    """A backend server whose answers the callable `responder` writes."""
 
     def __init__(self, name: str):
         super().__init__()
         self.name = name
-        self.act: raw_servers.Respond = send_complete_answer
+        self.responder: raw_servers.Respond = send_complete_answer
 
     @property
     def runs(self) -> list[str]:
@@ -95,7 +95,7 @@
                 writer, 421, b"", {"Cassiaquay-Instance-Id": self.name}
             )
             return
-        await self.act(request, writer)
+        await self.responder(request, writer)
 
 
 def seal_headers(request: raw_servers.Request) -> dict[str, str]:
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -166,7 +166,7 @@
             await act(request, writer)
 
         for engine in self.engines:
-            engine.act = once
+            engine.responder = once
 
     async def stop(self) -> None:
         """Stop everything."""
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -21,7 +21,7 @@
         self.arrivals: list[str] = []
         self._site = site
         for engine in site.engines:
-            engine.act = self._act
+            engine.responder = self._act
 
     async def _act(
         self, request: raw_servers.Request, writer: raw_servers.Writer
@@ -107,7 +107,7 @@
             await asyncio.sleep(60)
 
         for engine in site.engines:
-            engine.act = silent
+            engine.responder = silent
         await site.ask("/safe/x", "GET", b"")
         assert not site.daemons[0]._quarantine.suspect_count
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -61,7 +61,7 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = slowly
+            engine.responder = slowly
         asking = asyncio.create_task(site.ask("/string/x"))
         while not any(engine.requests for engine in site.engines):
             await asyncio.sleep(0.02)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -127,7 +127,7 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = _busy
+            engine.responder = _busy
         got = await site.ask("/book/x", Cassiaquay_Deadline_Ms="600")
         assert got.status == 503
         assert b'"outcome":"not_run"' in got.body
@@ -233,7 +233,7 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = anew
+            engine.responder = anew
         got = await site.ask("/stream/x")
         assert not got.complete
         assert standins.stream_events(2).startswith(got.body)
@@ -254,7 +254,7 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = twice
+            engine.responder = twice
         for _ in range(12):
             got = await site.ask("/book/x")
             assert got.status in (200, 502)
@@ -316,7 +316,7 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = _silent
+            engine.responder = _silent
         asking = asyncio.create_task(site.ask(path))
         while not any(engine.requests for engine in site.engines):
             await asyncio.sleep(0.01)
@@ -470,14 +470,14 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = slow
+            engine.responder = slow
         asking = asyncio.create_task(site.ask("/stream/x"))
         while not any(engine.requests for engine in site.engines):
             await asyncio.sleep(0.01)
         site.daemons[0]._stopping.set()
         await asyncio.sleep(0.1)
         for engine in site.engines:
-            engine.act = standins.send_complete_answer
+            engine.responder = standins.send_complete_answer
         late = await site.ask("/book/x")
         assert late.status == 200
         assert late.headers["connection"] == "close"
