--- a/packages/dev/cassiaquay_dev/cluster.py
+++ b/packages/dev/cassiaquay_dev/cluster.py
@@ -113,7 +113,7 @@
             if status["revision"] and len(status["members"]) >= len(self.listening):
                 return
             if asyncio.get_running_loop().time() > end:
-                raise processes.StartFault(f"{process.name} is alone: {status}")
+                raise processes.StartError(f"{process.name} is alone: {status}")
             await asyncio.sleep(processes.POLL_SECONDS)
 
     async def status(self, name: str) -> dict[str, typing.Any]:
--- a/packages/dev/cassiaquay_dev/network/processes.py
+++ b/packages/dev/cassiaquay_dev/network/processes.py
@@ -12,7 +12,7 @@
 POLL_SECONDS = 0.02
 
 
-class StartFault(RuntimeError):
+class StartError(RuntimeError):
     """A process did not become ready."""
 
 
@@ -39,7 +39,7 @@
     def pid(self) -> int:
         """Process id."""
         if self._child is None:
-            raise StartFault(f"{self.name} was not started")
+            raise StartError(f"{self.name} was not started")
         return self._child.pid
 
     @property
@@ -69,7 +69,7 @@
         while not found(self.lines()):
             if self.returncode is not None or loop.time() > end:
                 text = "\n".join(self.lines()[-20:])
-                raise StartFault(f"{self.name} did not become ready:\n{text}")
+                raise StartError(f"{self.name} did not become ready:\n{text}")
             await asyncio.sleep(POLL_SECONDS)
 
     def send(self, number: signal.Signals) -> None:
--- a/packages/dev/cassiaquay_dev/soak/site.py
+++ b/packages/dev/cassiaquay_dev/soak/site.py
@@ -185,7 +185,7 @@
             for one in self.daemons:
                 while not await one.is_ready():
                     if not one.is_running:
-                        raise processes.StartFault(f"{one.name} has ended")
+                        raise processes.StartError(f"{one.name} has ended")
                     await asyncio.sleep(0.05)
         for one in self.daemons:
             one.file.write_text(self._text(one, first=False))
--- a/packages/dev/cassiaquay_dev/trials/bench_path.py
+++ b/packages/dev/cassiaquay_dev/trials/bench_path.py
@@ -165,7 +165,7 @@
         end = time.monotonic() + LONGEST_SECONDS
         while any(client.returncode is None for client in clients):
             if time.monotonic() > end:
-                raise processes.StartFault("a client does not end")
+                raise processes.StartError("a client does not end")
             await asyncio.sleep(processes.POLL_SECONDS)
         return [json.loads(client.lines()[-1]) for client in clients], share
 
