--- a/packages/dev/cassiaquay_dev/cluster.py
+++ b/packages/dev/cassiaquay_dev/cluster.py
@@ -76,7 +76,7 @@
         await asyncio.gather(*(self.start_daemon(name) for name in names))
         await asyncio.gather(*(self.wait_until_known(name) for name in names))
 
-    def use(self, partition_: partition.Partition) -> None:
+    def use_partition(self, partition_: partition.Partition) -> None:
         """Let the instances reach each other through proxies that can be cut."""
         self._partition = partition_
 
--- a/tests/fault_runs.py
+++ b/tests/fault_runs.py
@@ -122,7 +122,7 @@
     started = cluster.Cluster(SMALL, daemons, folder, level="DEBUG")
     run = Run(started)
     if split:
-        started.use(run.partition)
+        started.use_partition(run.partition)
     try:
         async with asyncio.timeout(BOUND_SECONDS):
             await started.start()
