--- a/packages/dev/cassiaquay_dev/cluster.py
+++ b/packages/dev/cassiaquay_dev/cluster.py
@@ -76,7 +76,7 @@
         await asyncio.gather(*(self.start_daemon(name) for name in names))
         await asyncio.gather(*(self.wait_until_known(name) for name in names))
 
-    def use(self, partition_: partition.Partition) -> None:
+    def use_partition(self, partition_: partition.Partition) -> None:
         """Let the instances reach each other through proxies that can be cut."""
         self._partition = partition_
 
@@ -113,7 +113,7 @@
             if status["revision"] and len(status["members"]) >= len(self.listening):
                 return
             if asyncio.get_running_loop().time() > end:
-                raise processes.StartFault(f"{process.name} is alone: {status}")
+                raise processes.StartError(f"{process.name} is alone: {status}")
             await asyncio.sleep(processes.POLL_SECONDS)
 
     async def status(self, name: str) -> dict[str, typing.Any]:
--- a/packages/dev/cassiaquay_dev/standins/platform_standins.py
+++ b/packages/dev/cassiaquay_dev/standins/platform_standins.py
@@ -1,4 +1,4 @@
-"""The users' platform, small: its store, its engines and its configuration document."""
+"""Minimal stand-ins for the users' platform: store, engines, configuration document."""
 
 import base64
 import json
@@ -8,12 +8,12 @@
 from . import raw_servers
 
 HOST = "host.example"
-# Events of a whole answer.
-PIECES = 6
+# Events of a complete answer.
+EVENT_COUNT = 6
 
 
 class Store(raw_servers.RawServer):
-    """The platform's store: one configuration and the servers' entries."""
+    """The platform's key-value store: the configuration and the servers' entries."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,7 +22,7 @@
         self.items: dict[str, tuple[int, bytes]] = {}
 
     def put(self, key: str, value: object) -> None:
-        """Write a key; bytes as they are, anything else as JSON."""
+        """Write a key; bytes are stored unchanged, other values as JSON."""
         self.revision += 1
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.items[key] = (self.revision, data)
@@ -35,16 +35,16 @@
     async def respond(
         self, request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        """Answer a read."""
+        """Answer a read of a key or of a range of keys."""
         path, _, query = request.target.partition("?")
-        asked = dict(urllib.parse.parse_qsl(query))
+        parameters = dict(urllib.parse.parse_qsl(query))
         status, body = 404, {}
         if self.down:
             status = 503
-        elif path == "/cassiaquay/kv-key" and asked["key"] in self.items:
-            status, body = 200, self._item(asked["key"])
+        elif path == "/cassiaquay/kv-key" and parameters["key"] in self.items:
+            status, body = 200, self._item(parameters["key"])
         elif path == "/cassiaquay/kv-range":
-            status, body = 200, self._page(asked)
+            status, body = 200, self._page(parameters)
         data = json.dumps(body | {"current-rev": self.revision}).encode()
         writer.write(
             b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, len(data))
@@ -63,9 +63,9 @@
             "lease": 0,
         }
 
-    def _page(self, asked: dict[str, str]) -> dict[str, typing.Any]:
-        keys = [key for key in sorted(self.items) if key > asked.get("after", "")]
-        keys = [key for key in keys if key.startswith(asked["path-prefix"])]
+    def _page(self, parameters: dict[str, str]) -> dict[str, typing.Any]:
+        keys = [key for key in sorted(self.items) if key > parameters.get("after", "")]
+        keys = [key for key in keys if key.startswith(parameters["path-prefix"])]
         return {
             "items": [self._item(key) for key in keys[:2]],
             "truncated": len(keys) > 2,
@@ -73,62 +73,68 @@
 
 
 class Engine(raw_servers.RawServer):
-    """A backend server that answers as `act` says."""
+    """A backend server whose answers the callable `responder` writes."""
 
     def __init__(self, name: str):
         super().__init__()
         self.name = name
-        self.act: raw_servers.Respond = whole
+        self.responder: raw_servers.Respond = send_complete_answer
 
     @property
     def runs(self) -> list[str]:
-        """Attempts that it got."""
+        """Attempt ids of the requests that it received."""
         return [request.attempt for request in self.requests]
 
     async def respond(
         self, request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        """Answer a request, unless it was meant for another server."""
-        meant = request.headers["cassiaquay-expect-instance"]
-        if meant.removesuffix("-plain") != self.name:
+        """Answer a request; send 421 if it is addressed to another server."""
+        expected_instance = request.headers["cassiaquay-expect-instance"]
+        if expected_instance.removesuffix("-plain") != self.name:
             await raw_servers.send(
                 writer, 421, b"", {"Cassiaquay-Instance-Id": self.name}
             )
             return
-        await self.act(request, writer)
+        await self.responder(request, writer)
 
 
-def seal(request: raw_servers.Request) -> dict[str, str]:
-    """Return the headers of a server's own answer."""
+def seal_headers(request: raw_servers.Request) -> dict[str, str]:
+    """Return the headers that mark an answer as the server's own."""
     return {
         "Cassiaquay-Attempt-Id": request.attempt,
         "Cassiaquay-Response-Seal": f"seal-{request.attempt}",
     }
 
 
-async def whole(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-    """Answer well: events for a stream, a body otherwise."""
+async def send_complete_answer(
+    request: raw_servers.Request, writer: raw_servers.Writer
+) -> None:
+    """Send a complete 200 answer: all events for a stream, a body otherwise."""
     if not request.target.startswith("/s"):
         await raw_servers.send(
-            writer, 200, b"body of " + request.attempt.encode(), seal(request)
+            writer, 200, b"body of " + request.attempt.encode(), seal_headers(request)
         )
         return
-    await begin(request, writer)
-    await pieces(request, writer, PIECES)
+    await write_stream_head(request, writer)
+    await write_events(request, writer, EVENT_COUNT)
     writer.write(b"0\r\n\r\n")
     await writer.drain()
 
 
-async def begin(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-    """Write the head of a stream."""
-    head = "".join(f"{name}: {value}\r\n" for name, value in seal(request).items())
+async def write_stream_head(
+    request: raw_servers.Request, writer: raw_servers.Writer
+) -> None:
+    """Write the response head of a stream."""
+    head = "".join(
+        f"{name}: {value}\r\n" for name, value in seal_headers(request).items()
+    )
     writer.write(f"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n{head}\r\n".encode())
 
 
-async def pieces(
+async def write_events(
     request: raw_servers.Request, writer: raw_servers.Writer, until: int
 ) -> None:
-    """Write events from where the request goes on until a number."""
+    """Write the events up to ``until``, from the first one that the request lacks."""
     first = int(request.headers.get("last-event-id", "-1")) + 1
     for number in range(first, until):
         event = b"id: %d\ndata: piece %d\n\n" % (number, number)
@@ -136,15 +142,15 @@
         await writer.drain()
 
 
-def stream(until: int = PIECES) -> bytes:
-    """Return the events of a whole answer."""
+def stream_events(until: int = EVENT_COUNT) -> bytes:
+    """Return the events 0 to ``until - 1`` as event-stream bytes."""
     return b"".join(
         b"id: %d\ndata: piece %d\n\n" % (number, number) for number in range(until)
     )
 
 
 def route(
-    prefix: str, kind: str, service: str, **more: object
+    prefix: str, kind: str, service: str, **overrides: object
 ) -> dict[str, typing.Any]:
     """Return one route of the configuration."""
     return {
@@ -158,7 +164,7 @@
         "priority": 0,
         "attempts": 2,
         "gap-target-ms": 300,
-    } | more
+    } | overrides
 
 
 ROUTES = [
@@ -170,7 +176,7 @@
 ]
 
 
-def configuration(version: int = 1, **more: object) -> dict[str, typing.Any]:
+def configuration(version: int = 1, **overrides: object) -> dict[str, typing.Any]:
     """Return a configuration document."""
     return {
         "version": version,
@@ -181,4 +187,4 @@
         ],
         "limits": {"max-body-bytes": 100_000},
         "tenants": [{"name": "blue", "api-keys": ["key"]}],
-    } | more
+    } | overrides
--- a/tests/gateway_fakes.py
+++ b/tests/gateway_fakes.py
@@ -160,13 +160,13 @@
             request: raw_servers.Request, writer: raw_servers.Writer
         ) -> None:
             if request.attempt in seen:
-                await standins.whole(request, writer)
+                await standins.send_complete_answer(request, writer)
                 return
             seen.add(request.attempt)
             await respond(request, writer)
 
         for engine in self.engines:
-            engine.act = once
+            engine.responder = once
 
     async def stop(self) -> None:
         """Stop the daemons, the store and the engines."""
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -21,13 +21,13 @@
         self.arrivals: list[str] = []
         self._site = site
         for engine in site.engines:
-            engine.act = self._respond
+            engine.responder = self._respond
 
     async def _respond(
         self, request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
         if request.body != CRASHING_BODY:
-            await standins.whole(request, writer)
+            await standins.send_complete_answer(request, writer)
             return
         self.arrivals.append(request.attempt)
         name = request.headers["cassiaquay-expect-instance"].removesuffix("-plain")
@@ -55,7 +55,7 @@
             assert got.status == 503
         assert len(crashing.arrivals) == arrival_count
         got = await site.ask("/stream/x")
-        assert (got.status, got.body) == (200, standins.stream())
+        assert (got.status, got.body) == (200, standins.stream_events())
 
     fakes.run(work, 3)
 
@@ -72,7 +72,7 @@
         site.answer_first_run_with(reset_connection)
         for number in range(6):
             got = await site.ask("/stream/x", at=number % 2)
-            assert (got.status, got.body) == (200, standins.stream())
+            assert (got.status, got.body) == (200, standins.stream_events())
 
     fakes.run(work, 2)
 
@@ -107,7 +107,7 @@
             await asyncio.sleep(60)
 
         for engine in site.engines:
-            engine.act = send_nothing
+            engine.responder = send_nothing
         await site.ask("/safe/x", "GET", b"")
         assert not site.daemons[0]._quarantine.suspect_count
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -47,13 +47,13 @@
     may_continue = asyncio.Event()
 
     async def slowly(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-        await standins.begin(request, writer)
-        await standins.pieces(request, writer, 2)
+        await standins.write_stream_head(request, writer)
+        await standins.write_events(request, writer, 2)
         await may_continue.wait()
         await write_rest(writer)
 
     async def write_rest(writer: raw_servers.Writer) -> None:
-        for number in range(2, standins.PIECES):
+        for number in range(2, standins.EVENT_COUNT):
             event = b"id: %d\ndata: piece %d\n\n" % (number, number)
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
         writer.write(b"0\r\n\r\n")
@@ -61,7 +61,7 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = slowly
+            engine.responder = slowly
         asking = asyncio.create_task(site.ask("/string/x"))
         while not any(engine.requests for engine in site.engines):
             await asyncio.sleep(0.02)
@@ -70,7 +70,7 @@
         may_continue.set()
         got = await asking
         assert (got.status, got.complete) == (200, True)
-        assert got.body == standins.stream()
+        assert got.body == standins.stream_events()
 
     fakes.run(work)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -26,7 +26,7 @@
 
 
 async def _answer_500(request: raw_servers.Request, writer: raw_servers.Writer) -> None:
-    await raw_servers.send(writer, 500, b"broken", standins.seal(request))
+    await raw_servers.send(writer, 500, b"broken", standins.seal_headers(request))
 
 
 def test_answer_is_forwarded_unchanged() -> None:
@@ -50,7 +50,7 @@
     async def work(site: fakes.Site) -> None:
         got = await site.ask("/stream/x")
         assert (got.status, got.complete) == (200, True)
-        assert got.body == standins.stream()
+        assert got.body == standins.stream_events()
 
     fakes.run(work)
 
@@ -132,7 +132,7 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = _decline
+            engine.responder = _decline
         got = await site.ask("/book/x", Cassiaquay_Deadline_Ms="600")
         assert got.status == 503
         assert b'"outcome":"not_run"' in got.body
@@ -171,8 +171,8 @@
     async def cut_stream(
         request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        await standins.begin(request, writer)
-        await standins.pieces(request, writer, 3)
+        await standins.write_stream_head(request, writer)
+        await standins.write_events(request, writer, 3)
         writer.write(b"a\r\nid: 3\ndata")
         await writer.drain()
         await asyncio.sleep(0.05)
@@ -182,7 +182,7 @@
         site.answer_first_run_with(cut_stream)
         got = await site.ask(path)
         if path == "/stream/x":
-            assert (got.body, got.complete) == (standins.stream(), True)
+            assert (got.body, got.complete) == (standins.stream_events(), True)
             assert len(site.engines_of(got.attempt)) == 2
             [second] = [
                 request
@@ -193,7 +193,7 @@
             assert second.headers["last-event-id"] == "2"
         else:
             assert not got.complete
-            assert standins.stream().startswith(got.body)
+            assert standins.stream_events().startswith(got.body)
             assert len(site.engines_of(got.attempt)) == 1
 
     fakes.run(work)
@@ -209,15 +209,15 @@
     async def send_two_events(
         request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        await standins.begin(request, writer)
-        await standins.pieces(request, writer, 2)
+        await standins.write_stream_head(request, writer)
+        await standins.write_events(request, writer, 2)
         await asyncio.sleep(60)
 
     async def work(site: fakes.Site) -> None:
         site.answer_first_run_with(send_two_events)
         got = await site.ask("/stream/x")
-        assert (got.body, got.complete) == (standins.stream(), True)
-        closed = [name for engine in site.engines for name in engine.closed_under]
+        assert (got.body, got.complete) == (standins.stream_events(), True)
+        closed = [name for engine in site.engines for name in engine.aborted_attempts]
         assert closed == [got.attempt]
 
     fakes.run(work)
@@ -229,8 +229,8 @@
     async def cut_stream(
         request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        await standins.begin(request, writer)
-        await standins.pieces(request, writer, 2)
+        await standins.write_stream_head(request, writer)
+        await standins.write_events(request, writer, 2)
         raw_servers.reset(writer)
 
     async def restart_stream(
@@ -240,16 +240,16 @@
             await cut_stream(request, writer)
             return
         bare = request._replace(headers={"cassiaquay-attempt-id": request.attempt})
-        await standins.begin(bare, writer)
-        await standins.pieces(bare, writer, standins.PIECES)
+        await standins.write_stream_head(bare, writer)
+        await standins.write_events(bare, writer, standins.EVENT_COUNT)
         writer.write(b"0\r\n\r\n")
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = restart_stream
+            engine.responder = restart_stream
         got = await site.ask("/stream/x")
         assert not got.complete
-        assert standins.stream(2).startswith(got.body)
+        assert standins.stream_events(2).startswith(got.body)
 
     fakes.run(work)
 
@@ -264,12 +264,12 @@
     async def send_surplus_answer(
         request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        await standins.whole(request, writer)
-        await raw_servers.send(writer, 200, b"stray", standins.seal(request))
+        await standins.send_complete_answer(request, writer)
+        await raw_servers.send(writer, 200, b"stray", standins.seal_headers(request))
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = send_surplus_answer
+            engine.responder = send_surplus_answer
         for _ in range(12):
             got = await site.ask("/book/x")
             assert got.status in (200, 502)
@@ -286,7 +286,7 @@
     async def send_without_length(
         request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        head = "".join(f"{k}: {v}\r\n" for k, v in standins.seal(request).items())
+        head = "".join(f"{k}: {v}\r\n" for k, v in standins.seal_headers(request).items())
         writer.write(f"HTTP/1.1 200 X\r\n{head}\r\npart".encode())
         await writer.drain()
         await asyncio.sleep(0.05)
@@ -331,18 +331,18 @@
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = _send_nothing
+            engine.responder = _send_nothing
         asking = asyncio.create_task(site.ask(path))
         while not any(engine.requests for engine in site.engines):
             await asyncio.sleep(0.01)
         asking.cancel()
         await asyncio.gather(asking, return_exceptions=True)
         if path == "/stream/x":
-            while not any(engine.closed_under for engine in site.engines):
+            while not any(engine.aborted_attempts for engine in site.engines):
                 await asyncio.sleep(0.01)
         else:
             await asyncio.sleep(0.3)
-            assert not any(engine.closed_under for engine in site.engines)
+            assert not any(engine.aborted_attempts for engine in site.engines)
 
     fakes.run(work)
 
@@ -477,24 +477,24 @@
     async def stream_slowly(
         request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        await standins.begin(request, writer)
-        for until in range(1, standins.PIECES + 1):
+        await standins.write_stream_head(request, writer)
+        for until in range(1, standins.EVENT_COUNT + 1):
             bare = dict(request.headers)
             bare["last-event-id"] = str(until - 2)
-            await standins.pieces(request._replace(headers=bare), writer, until)
+            await standins.write_events(request._replace(headers=bare), writer, until)
             await asyncio.sleep(0.1)
         writer.write(b"0\r\n\r\n")
 
     async def work(site: fakes.Site) -> None:
         for engine in site.engines:
-            engine.act = stream_slowly
+            engine.responder = stream_slowly
         asking = asyncio.create_task(site.ask("/stream/x"))
         while not any(engine.requests for engine in site.engines):
             await asyncio.sleep(0.01)
         site.daemons[0]._stopping.set()
         await asyncio.sleep(0.1)
         for engine in site.engines:
-            engine.act = standins.whole
+            engine.responder = standins.send_complete_answer
         late = await site.ask("/book/x")
         assert late.status == 200
         assert late.headers["connection"] == "close"
@@ -509,7 +509,7 @@
                     break
             await asyncio.sleep(0.02)
         got = await asking
-        assert (got.body, got.complete) == (standins.stream(), True)
+        assert (got.body, got.complete) == (standins.stream_events(), True)
 
     fakes.run(work, 2)
 
