--- a/packages/dev/cassiaquay_dev/lab/__main__.py
+++ b/packages/dev/cassiaquay_dev/lab/__main__.py
@@ -9,9 +9,9 @@
 
 from cassiaquay_schema import exceptions
 
-from . import ablation, days, mechanisms, played, virtual_time
+from . import ablation, days, mechanisms, simulation, virtual_time
 
-OUTCOMES = (played.IN_TIME, played.LATE, played.REFUSED, played.LEFT)
+OUTCOMES = (simulation.IN_TIME, simulation.LATE, simulation.REFUSED, simulation.LEFT)
 
 
 def main(
@@ -63,7 +63,7 @@
 def _play(day: days.Day, seed: int, without: list[str], by_second: bool) -> None:
     began = time.monotonic()
     with mechanisms.switched_off(without):
-        found = virtual_time.run(played.play(day, seed))
+        found = virtual_time.run(simulation.play(day, seed))
     seconds = time.monotonic() - began
     print(f"seed {seed}: {len(found.ended)} requests in {seconds:.1f} s")
     print("\n".join(kinds_table(day, found)))
@@ -72,19 +72,19 @@
     sys.stdout.flush()
 
 
-def kinds_table(day: days.Day, found: played.Played) -> list[str]:
+def kinds_table(day: days.Day, found: simulation.DayResult) -> list[str]:
     """Return the lines of a table by kind of request."""
     lines = [f"{'kind':10} {'count':>6} {'worth':>6}  in time, late, refused, left"]
     for name in [*day.kinds, ""]:
         items = [item for item in found.ended if name in ("", item.request.kind)]
         counts = collections.Counter(item.outcome for item in items)
         shares = [f"{counts[outcome] / max(len(items), 1):.3f}" for outcome in OUTCOMES]
-        line = f"{name or 'all':10} {len(items):6} {played.worth(items):6.3f}  "
+        line = f"{name or 'all':10} {len(items):6} {simulation.worth(items):6.3f}  "
         lines.append(line + " ".join(shares))
     return lines
 
 
-def seconds_table(found: played.Played) -> list[str]:
+def seconds_table(found: simulation.DayResult) -> list[str]:
     """Return the lines of a table by second of arrival."""
     lines = [
         "second  came worth  in time, late, refused, left | fast slow queued waiting"
@@ -100,10 +100,10 @@
         counts = collections.Counter(item.outcome for item in items)
         shares = " ".join(f"{counts[outcome]:4}" for outcome in OUTCOMES)
         means = []
-        for column in range(1, len(played.Sample._fields)):
+        for column in range(1, len(simulation.Sample._fields)):
             values = [sample[column] for sample in samples[second]]
             means.append(f"{statistics.mean(values or [0]):6.1f}")
-        line = f"{second:6} {len(items):5} {played.worth(items):.3f}  {shares} | "
+        line = f"{second:6} {len(items):5} {simulation.worth(items):.3f}  {shares} | "
         lines.append(line + " ".join(means))
     return lines
 
--- a/packages/dev/cassiaquay_dev/lab/ablation.py
+++ b/packages/dev/cassiaquay_dev/lab/ablation.py
@@ -6,7 +6,7 @@
 import statistics
 import typing
 
-from . import days, mechanisms, played, virtual_time
+from . import days, mechanisms, simulation, virtual_time
 
 # Two-sided 95% points of Student's t by degrees of freedom, from one on.
 STUDENT_T = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
@@ -49,8 +49,8 @@
 def play(task: Task) -> float:
     """Return the worth of a day."""
     with mechanisms.switched_off(task.without):
-        found = virtual_time.run(played.play(task.day, task.seed))
-    return played.worth(found.ended)
+        found = virtual_time.run(simulation.play(task.day, task.seed))
+    return simulation.worth(found.ended)
 
 
 def ablate(
--- a/packages/dev/cassiaquay_dev/lab/instances.py
+++ b/packages/dev/cassiaquay_dev/lab/instances.py
@@ -13,7 +13,7 @@
 from cassiaquay_schema import messages
 from cassiaquay_schema import settings as settings_schema
 
-from . import days, traffic, wires
+from . import days, simulated_network, traffic
 
 POOL = "engines"
 MODEL = "model"
@@ -48,7 +48,7 @@
     def __init__(
         self,
         name: str,
-        network: wires.Network,
+        network: simulated_network.Network,
         configured: Configured,
         policy: str = objectives.NAME,
     ):
@@ -61,7 +61,7 @@
         )
         # The roles ask of members, links and configuration just what the stand-ins
         # have; they are typed as the daemon's own.
-        members = typing.cast(typing.Any, wires.Members(network, name))
+        members = typing.cast(typing.Any, simulated_network.Members(network, name))
         links = typing.cast(typing.Any, network.links[name])
         known = typing.cast(typing.Any, configured)
         self.pauses = pause.Pauses(pause.shortest_lease(settings))
--- a/packages/dev/cassiaquay_dev/lab/played.py
+++ b/packages/dev/cassiaquay_dev/lab/simulation.py
@@ -8,7 +8,7 @@
 from cassiaquay_daemon import clock, exceptions
 from cassiaquay_daemon.gateway import admission, calls
 
-from . import batching, days, instances, traffic, wires
+from . import batching, days, instances, simulated_network, traffic
 
 # Instances know each other and all shards are open before the load begins.
 WARM_UP_SECONDS = 3.0
@@ -61,7 +61,7 @@
     waiting: int
 
 
-class Played(typing.NamedTuple):
+class DayResult(typing.NamedTuple):
     """A played day.
 
     Attributes
@@ -105,7 +105,7 @@
         zones = {
             name: f"zone-{number % day.zones}" for number, name in enumerate(names)
         }
-        self.network = wires.Network(zones, day.crossing_ms / 1000.0)
+        self.network = simulated_network.Network(zones, day.crossing_ms / 1000.0)
         configured = instances.Configured(self._snapshot)
         self.instances = [
             instances.Instance(name, self.network, configured) for name in names
@@ -248,11 +248,11 @@
     return sum(earned(item) for item in items) / owed if owed else 1.0
 
 
-async def play(day: days.Day, seed: int) -> Played:
+async def play(day: days.Day, seed: int) -> DayResult:
     """Play a day; the same seed gives the same day again."""
     # The daemon's own choices (Retry-After) draw from the common generator.
     random.seed(seed)
     fleet = Fleet(day, seed)
     await fleet.play(traffic.build(day, seed))
     received = sum(links.received for links in fleet.network.links.values())
-    return Played(fleet.ended, fleet.samples, fleet.refused_at, received)
+    return DayResult(fleet.ended, fleet.samples, fleet.refused_at, received)
--- a/packages/dev/cassiaquay_dev/lab/traffic.py
+++ b/packages/dev/cassiaquay_dev/lab/traffic.py
@@ -50,17 +50,17 @@
     """Return the requests of a day in order of arrival."""
     found: list[Request] = []
     for name, kind in day.kinds.items():
-        chance = random.Random(f"{seed} {name}")
+        rng = random.Random(f"{seed} {name}")
         at = 0.0
         most = max([1.0, *(burst.factor for burst in day.bursts)]) * (1.0 + SWING)
         most *= kind.per_second * day.load
         while True:
-            at += chance.expovariate(most)
+            at += rng.expovariate(most)
             if at >= day.seconds:
                 break
-            if chance.random() * most > kind.per_second * rate_factor(day, name, at):
+            if rng.random() * most > kind.per_second * rate_factor(day, name, at):
                 continue
-            found.append(_request(day, name, at, len(found), chance))
+            found.append(_request(day, name, at, len(found), rng))
     return sorted(found, key=_at)
 
 
@@ -77,14 +77,14 @@
 
 
 def _request(
-    day: days.Day, name: str, at: float, number: int, chance: random.Random
+    day: days.Day, name: str, at: float, number: int, rng: random.Random
 ) -> Request:
     kind = day.kinds[name]
-    prompt = _drawn(chance, kind.prompt_mean, kind.prompt_spread, kind.prompt_most)
+    prompt = _drawn(rng, kind.prompt_mean, kind.prompt_spread, kind.prompt_most)
     prompt = max(prompt, LEAST_PROMPT)
-    events = _drawn(chance, kind.events_mean, kind.events_spread, kind.events_most)
+    events = _drawn(rng, kind.events_mean, kind.events_spread, kind.events_most)
     events = max(round(events), 1)
-    hinted = events * math.exp(chance.gauss(0.0, day.hint_spread))
+    hinted = events * math.exp(rng.gauss(0.0, day.hint_spread))
     tokens = day.engines.event_tokens
     size = prompt + 10.0 * events * tokens
     usual = kind.prompt_mean + 10.0 * kind.events_mean * tokens
@@ -92,7 +92,7 @@
     return Request(
         f"{name}-{number}",
         name,
-        _team(day.teams, chance),
+        _team(day.teams, rng),
         at,
         int(prompt),
         events,
@@ -102,16 +102,16 @@
     )
 
 
-def _drawn(chance: random.Random, mean: float, spread: float, most: float) -> float:
+def _drawn(rng: random.Random, mean: float, spread: float, most: float) -> float:
     """Return a log-normal number with a mean and a relative standard deviation."""
     variance = math.log(1.0 + spread * spread)
     middle = math.log(mean) - variance / 2.0
-    return min(math.exp(chance.gauss(middle, math.sqrt(variance))), most)
+    return min(math.exp(rng.gauss(middle, math.sqrt(variance))), most)
 
 
-def _team(count: int, chance: random.Random) -> str:
+def _team(count: int, rng: random.Random) -> str:
     weights = [TEAM_STEP**number for number in range(count)]
-    return f"team-{chance.choices(range(count), weights)[0]}"
+    return f"team-{rng.choices(range(count), weights)[0]}"
 
 
 def _at(request: Request) -> float:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,7 +13,7 @@
     batching,
     days,
     mechanisms,
-    played,
+    simulation,
     traffic,
     virtual_time,
 )
@@ -49,17 +49,17 @@
 
 
 def test_a_seed_gives_the_same_day_again() -> None:
-    first, second = (virtual_time.run(played.play(SMALL, 3)) for _ in range(2))
+    first, second = (virtual_time.run(simulation.play(SMALL, 3)) for _ in range(2))
     assert first == second
-    assert first != virtual_time.run(played.play(SMALL, 4))
+    assert first != virtual_time.run(simulation.play(SMALL, 4))
 
 
 def test_every_request_ends_once() -> None:
-    found = virtual_time.run(played.play(SMALL, 1))
+    found = virtual_time.run(simulation.play(SMALL, 1))
     names = [item.request.name for item in found.ended]
     assert sorted(names) == sorted(item.name for item in traffic.build(SMALL, 1))
     assert len(names) == len(set(names)) > 50
-    assert played.worth(found.ended) > 0.95
+    assert simulation.worth(found.ended) > 0.95
 
 
 def test_an_engine_gives_every_running_request_a_token_in_each_step() -> None:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cassiaquay_dev.lab import days, played, virtual_time
+from cassiaquay_dev.lab import days, simulation, virtual_time
 
 REPORT, QUESTION, TAG = "report", "question", "tag"
 
@@ -21,11 +21,11 @@
     ----------
     day : Day
         What was played.
-    found : Played
+    found : DayResult
         What came of it.
     """
 
-    def __init__(self, day: days.Day, found: played.Played):
+    def __init__(self, day: days.Day, found: simulation.DayResult):
         self.day = day
         self.found = found
 
@@ -51,7 +51,7 @@
 def _burst() -> Result:
     """Play seconds 3 to 6 of a burst, and what follows."""
     day = days.read("burst")
-    return Result(day, virtual_time.run(played.play(day, 1)))
+    return Result(day, virtual_time.run(simulation.play(day, 1)))
 
 
 def test_engines_stay_full_while_requests_are_refused(burst: Result) -> None:
@@ -66,7 +66,7 @@
 def test_higher_ranks_are_refused_less(burst: Result) -> None:
     refused = []
     for kind in (REPORT, QUESTION, TAG):
-        refused.append(burst.share(kind, played.REFUSED, 3.0, 9.0))
+        refused.append(burst.share(kind, simulation.REFUSED, 3.0, 9.0))
     assert refused == sorted(refused)
     assert refused[0] < 0.05 < refused[2]
 
@@ -76,12 +76,12 @@
 
     One that is refused stands there in vain for a lower rank that was served.
     """
-    assert burst.share(REPORT, played.REFUSED, 0.0, burst.day.seconds) == 0.0
+    assert burst.share(REPORT, simulation.REFUSED, 0.0, burst.day.seconds) == 0.0
 
 
 def test_the_most_important_rank_is_served_as_without_a_burst(burst: Result) -> None:
-    in_time = burst.share(REPORT, played.IN_TIME, 3.0, 9.0)
-    assert in_time > 0.9 * burst.share(REPORT, played.IN_TIME, 1.5, 3.0)
+    in_time = burst.share(REPORT, simulation.IN_TIME, 3.0, 9.0)
+    assert in_time > 0.9 * burst.share(REPORT, simulation.IN_TIME, 1.5, 3.0)
 
 
 def test_nobody_is_refused_while_a_tenth_of_the_slots_is_free(burst: Result) -> None:
@@ -98,7 +98,7 @@
     refused = 0
     for at in burst.found.refused_at:
         refused += any(
-            abs(at - free) <= played.SAMPLE_SECONDS / 2.0 for free in free_at
+            abs(at - free) <= simulation.SAMPLE_SECONDS / 2.0 for free in free_at
         )
     assert refused <= 0.01 * len(burst.found.refused_at)
 
@@ -110,8 +110,8 @@
     callers are back.
     """
     for kind in (REPORT, QUESTION, TAG):
-        assert burst.share(kind, played.REFUSED, 11.0, 14.0) < 0.02
+        assert burst.share(kind, simulation.REFUSED, 11.0, 14.0) < 0.02
 
 
 def test_a_burst_costs_no_more_than_what_engines_lack(burst: Result) -> None:
-    assert played.worth(burst.found.ended) > 0.8
+    assert simulation.worth(burst.found.ended) > 0.8
