--- a/packages/dev/cassiaquay_dev/demo.py
+++ b/packages/dev/cassiaquay_dev/demo.py
@@ -71,7 +71,7 @@
     for result in results:
         if result.outcome != "completed" or result.arrival.path:
             continue
-        recorder.answered_text(
+        recorder.record_text(
             result.request_id,
             result.arrival.team.name,
             result.text,
--- a/packages/dev/cassiaquay_dev/trials/checker.py
+++ b/packages/dev/cassiaquay_dev/trials/checker.py
@@ -51,7 +51,7 @@
     """Require that an id called ``not_run`` is at no back end, before or after."""
     arrived = {event.key.rpartition("~")[0] for event in seen.of(history.Arrived)}
     refused: dict[str, str] = {}
-    for told in seen.of(history.Told):
+    for told in seen.of(history.OutcomeReported):
         if told.outcome == "not_run":
             refused[told.id] = f"a caller ({told.code})"
     for ended in seen.of(history.Ended):
@@ -73,7 +73,7 @@
         if answer.text != texts.expected_answer(key, answer.length):
             found.append(f"{answer.id} got another text")
     lengths = {event.id: event.length for event in seen.of(history.Answered)}
-    for told in seen.of(history.Told):
+    for told in seen.of(history.OutcomeReported):
         if told.outcome == "completed" and lengths.get(told.id, 1) == 0:
             found.append(f"{told.id} is completed with an empty answer")
     return found
--- a/packages/dev/cassiaquay_dev/trials/history.py
+++ b/packages/dev/cassiaquay_dev/trials/history.py
@@ -30,7 +30,7 @@
     idempotent: bool
 
 
-class Told(typing.NamedTuple):
+class OutcomeReported(typing.NamedTuple):
     """A caller was told what became of an id."""
 
     at: float
@@ -138,7 +138,7 @@
 
 Event = (
     Attempted
-    | Told
+    | OutcomeReported
     | Answered
     | Dispatched
     | Ended
@@ -194,26 +194,28 @@
             )
 
         def outcome(report: cassiaquay.hooks.Outcome) -> None:
-            self.told(report.request_id, report.outcome, report.code)
+            self.record_outcome(report.request_id, report.outcome, report.code)
 
         session.hooks.register(cassiaquay.hooks.ATTEMPT, attempt)
         session.hooks.register(cassiaquay.hooks.OUTCOME, outcome)
 
-    def told(self, request_id: str, outcome: str, code: str) -> None:
+    def record_outcome(self, request_id: str, outcome: str, code: str) -> None:
         """Record what a caller was told of an id."""
-        self.history.events.append(Told(time.time(), request_id, outcome, code))
+        self.history.events.append(
+            OutcomeReported(time.time(), request_id, outcome, code)
+        )
 
-    def answered(self, answer: cassiaquay.Answer, team: str) -> None:
+    def record_answer(self, answer: cassiaquay.Answer, team: str) -> None:
         """Record a whole answer of a model engine."""
-        self.answered_text(answer.request_id, team, answer.text, answer.count)
+        self.record_text(answer.request_id, team, answer.text, answer.count)
 
-    def answered_text(self, request_id: str, team: str, text: str, length: int) -> None:
+    def record_text(self, request_id: str, team: str, text: str, length: int) -> None:
         """Record the text of a whole answer that should have ``length`` tokens."""
         self.history.events.append(
             Answered(time.time(), request_id, team, text, length)
         )
 
-    def server_leaving(self, server: str) -> None:
+    def record_server_leaving(self, server: str) -> None:
         """Record that the list shows a backend server as leaving."""
         self.history.events.append(ServerLeaving(time.time(), server))
 
--- a/tests/fault_runs.py
+++ b/tests/fault_runs.py
@@ -55,7 +55,7 @@
         except cassiaquay.exceptions.CassiaquayError as error:
             self._told(error)
             return error
-        self.recorder.answered(answer, self.cluster.deployment.teams[0].name)
+        self.recorder.record_answer(answer, self.cluster.deployment.teams[0].name)
         return answer
 
     async def book(self, session: cassiaquay.Session, **options):
@@ -111,7 +111,7 @@
 
     def _told(self, error: cassiaquay.exceptions.CassiaquayError) -> None:
         if error.ran is False:
-            self.recorder.told(error.request_id, "not_run", error.code)
+            self.recorder.record_outcome(error.request_id, "not_run", error.code)
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -15,11 +15,11 @@
         history.Dispatched(1.1, "cq-1", "t~1", "tutor-1"),
         history.Arrived(1.2, "tutor-1", "t~1~questions", "finished"),
         history.Ended(1.9, "cq-1", "t~1", "completed", "completed"),
-        history.Told(2.0, "t~1", "completed", "completed"),
+        history.OutcomeReported(2.0, "t~1", "completed", "completed"),
         history.Answered(
             2.0, "t~1", "questions", texts.expected_answer("t~1~questions", 3), 3
         ),
-        history.Told(2.0, "t~2", "not_run", "shed_overload"),
+        history.OutcomeReported(2.0, "t~2", "not_run", "shed_overload"),
         history.ServerLeaving(3.0, "tutor-1"),
         history.InForce(3.0, "cq-1", 2),
         history.Granted(3.0, "cq-1", "engines#0", "t~1", 0),
@@ -36,7 +36,10 @@
     ),
     ("at_most_one_dispatch", [history.Dispatched(1.3, "cq-1", "t~1", "tutor-2")]),
     ("not_run_did_not_run", [history.Arrived(9.0, "tutor-2", "t~2~questions", "")]),
-    ("not_run_did_not_run", [history.Told(0.9, "t~1", "not_run", "unknown_id")]),
+    (
+        "not_run_did_not_run",
+        [history.OutcomeReported(0.9, "t~1", "not_run", "unknown_id")],
+    ),
     ("not_run_did_not_run", [history.Ended(1.5, "cq-1", "t~1", "not_run", "leaving")]),
     (
         "own_whole_answer",
--- a/tests/test_faults_leaving.py
+++ b/tests/test_faults_leaving.py
@@ -74,7 +74,7 @@
                         leaving.name, "backend", leaving.domain, address, "", "leaving"
                     )
                     await _until_listed(run, leaving.name)
-                    run.recorder.server_leaving(leaving.name)
+                    run.recorder.record_server_leaving(leaving.name)
                 await asyncio.sleep(checker.LEAVING_SECONDS * 2 / 40)
             for one in await asyncio.gather(*asked):
                 assert isinstance(one, cassiaquay.Answer), one
