--- a/packages/dev/cassiaquay_dev/lab/__init__.py
+++ b/packages/dev/cassiaquay_dev/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Models without processes: fleets and shards in virtual time, ownership explored."""
+"""In-process models: fleets and shards in virtual time, and ownership model checks."""
--- a/packages/dev/cassiaquay_dev/lab/__main__.py
+++ b/packages/dev/cassiaquay_dev/lab/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cassiaquay_dev.lab DAY``: play a day and show what came of it."""
+"""``python -m cassiaquay_dev.lab DAY``: simulate a day and print its results."""
 
 import collections
 import statistics
@@ -11,7 +11,12 @@
 
 from . import ablation, days, mechanisms, simulation, virtual_time
 
-OUTCOMES = (simulation.IN_TIME, simulation.LATE, simulation.REFUSED, simulation.LEFT)
+OUTCOMES = (
+    simulation.IN_TIME,
+    simulation.LATE,
+    simulation.REFUSED,
+    simulation.ABANDONED,
+)
 
 
 def main(
@@ -23,48 +28,48 @@
     ablate: bool = False,
     workers: int = 2,
 ) -> None:
-    """Play a day and print its tables.
+    """Simulate a day and print its tables.
 
     Parameters
     ----------
     day : str
-        Name of a day, or path of its file.
+        Name of a day in ``days/``, or path of a day file.
     seeds : int
-        How many seeds to play, one after the other.
+        Number of consecutive seeds to simulate.
     seed : int
-        The first of them.
+        The first seed.
     by_second : bool
-        Whether to print each second as well.
+        Whether to print a table by second as well.
     without : str or tuple of str
-        Mechanisms to switch off, separated by commas.
+        Names of mechanisms to disable, separated by commas.
     ablate : bool
-        Play the day without each mechanism in turn, and print what each is worth.
+        Simulate the day without each mechanism in turn and print each one's effect.
     workers : int
-        Processes that play at a time for that.
+        Number of parallel processes for ``ablate``.
     """
     names = without.split(",") if isinstance(without, str) else list(without)
     try:
-        chosen = days.read(day)
+        selected_day = days.read(day)
         for name in names:
             mechanisms.mechanisms.get(name)
     except (exceptions.SchemaError, LookupError) as error:
         print(error, file=sys.stderr)
         sys.exit(1)
-    numbers = range(seed, seed + seeds)
+    seed_numbers = range(seed, seed + seeds)
     if ablate:
         known = mechanisms.mechanisms.names()
-        found = ablation.ablate(chosen, numbers, known, workers)
+        found = ablation.ablate(selected_day, seed_numbers, known, workers)
         print("\n".join(ablation.table(found)))
         return
-    for number in numbers:
-        _play(chosen, number, names, by_second)
+    for number in seed_numbers:
+        _print_day(selected_day, number, names, by_second)
 
 
-def _play(day: days.Day, seed: int, without: list[str], by_second: bool) -> None:
-    began = time.monotonic()
+def _print_day(day: days.Day, seed: int, without: list[str], by_second: bool) -> None:
+    started_at = time.monotonic()
     with mechanisms.switched_off(without):
         found = virtual_time.run(simulation.play(day, seed))
-    seconds = time.monotonic() - began
+    seconds = time.monotonic() - started_at
     print(f"seed {seed}: {len(found.ended)} requests in {seconds:.1f} s")
     print("\n".join(kinds_table(day, found)))
     if by_second:
@@ -73,7 +78,7 @@
 
 
 def kinds_table(day: days.Day, found: simulation.DayResult) -> list[str]:
-    """Return the lines of a table by kind of request."""
+    """Return the lines of a table of outcomes by kind of request."""
     lines = [f"{'kind':10} {'count':>6} {'worth':>6}  in time, late, refused, left"]
     for name in [*day.kinds, ""]:
         items = [item for item in found.ended if name in ("", item.request.kind)]
@@ -85,7 +90,7 @@
 
 
 def seconds_table(found: simulation.DayResult) -> list[str]:
-    """Return the lines of a table by second of arrival."""
+    """Return the lines of a table of outcomes and engine load by second of arrival."""
     lines = [
         "second  came worth  in time, late, refused, left | fast slow queued waiting"
     ]
--- a/packages/dev/cassiaquay_dev/lab/ablation.py
+++ b/packages/dev/cassiaquay_dev/lab/ablation.py
@@ -1,4 +1,7 @@
-"""What each mechanism is worth on a day: played with and without it, seed by seed."""
+"""Measure the effect of each mechanism by simulating a day with and without it.
+
+Both variants run on the same seeds; the effect is the mean of the paired differences.
+"""
 
 import collections.abc
 import concurrent.futures
@@ -8,13 +11,13 @@
 
 from . import days, mechanisms, simulation, virtual_time
 
-# Two-sided 95% points of Student's t by degrees of freedom, from one on.
-STUDENT_T = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
-NORMAL = 1.96
+# Two-sided 95% quantiles of Student's t for 1, 2, ... degrees of freedom.
+STUDENT_T_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
+NORMAL_95 = 1.96
 
 
 class Task(typing.NamedTuple):
-    """One day to be played."""
+    """One simulation: a day, a seed and the mechanisms to disable."""
 
     day: days.Day
     seed: int
@@ -22,16 +25,16 @@
 
 
 class Effect(typing.NamedTuple):
-    """What a mechanism is worth.
+    """Effect of a mechanism on the worth that a day earns.
 
     Attributes
     ----------
     name : str
-        The mechanism.
+        Name of the mechanism.
     worth : float
-        Mean worth of a day with it less that without it.
+        Mean difference of the earned share of worth, with it minus without it.
     margin : float
-        Half of the 95% interval of that mean; infinite for a single seed.
+        Half-width of the 95% confidence interval; infinite for a single seed.
     """
 
     name: str
@@ -40,14 +43,14 @@
 
     @property
     def verdict(self) -> str:
-        """Say what the interval allows to be said."""
+        """Classify the effect as positive, negative or not significant."""
         if abs(self.worth) <= self.margin:
             return "not told apart from nothing"
         return "worth its place" if self.worth > 0 else "harmful here"
 
 
 def play(task: Task) -> float:
-    """Return the worth of a day."""
+    """Simulate a day and return the share of worth that it earned."""
     with mechanisms.switched_off(task.without):
         found = virtual_time.run(simulation.play(task.day, task.seed))
     return simulation.worth(found.ended)
@@ -59,7 +62,7 @@
     names: collections.abc.Sequence[str],
     workers: int,
 ) -> list[Effect]:
-    """Return the effects of some mechanisms, the largest first."""
+    """Return the effects of the named mechanisms, the largest first."""
     variants: list[tuple[str, ...]] = [(), *((name,) for name in names)]
     tasks = [Task(day, seed, without) for without in variants for seed in seeds]
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
@@ -72,19 +75,25 @@
 
 
 def effect(name: str, full: list[float], without: list[float]) -> Effect:
-    """Return the effect of a mechanism from the worths of the same seeds."""
-    gains = [one - other for one, other in zip(full, without, strict=True)]
+    """Return the effect of a mechanism from paired results of the same seeds."""
+    gains = [
+        with_it - without_it for with_it, without_it in zip(full, without, strict=True)
+    ]
     mean = statistics.mean(gains)
     if len(gains) < 2:
         return Effect(name, mean, math.inf)
-    freedom = len(gains) - 1
-    point = STUDENT_T[freedom - 1] if freedom <= len(STUDENT_T) else NORMAL
-    margin = point * statistics.stdev(gains) / math.sqrt(len(gains))
+    degrees_of_freedom = len(gains) - 1
+    t_value = (
+        STUDENT_T_95[degrees_of_freedom - 1]
+        if degrees_of_freedom <= len(STUDENT_T_95)
+        else NORMAL_95
+    )
+    margin = t_value * statistics.stdev(gains) / math.sqrt(len(gains))
     return Effect(name, mean, margin)
 
 
 def table(effects: list[Effect]) -> list[str]:
-    """Return the lines of a table."""
+    """Return the lines of a table of effects."""
     lines = [f"{'mechanism':18} {'worth':>7}  95%"]
     for item in effects:
         line = f"{item.name:18} {item.worth:+7.4f}  +-{item.margin:.4f}  {item.verdict}"
--- a/packages/dev/cassiaquay_dev/lab/batching.py
+++ b/packages/dev/cassiaquay_dev/lab/batching.py
@@ -1,8 +1,9 @@
-"""Engines of the lab: they batch continuously.
+"""Simulated engines with continuous batching.
 
-An engine runs a few requests side by side. Each step gives each of them a token, and
-reads a chunk of the prompts that are not read yet, in order of arrival: a long prompt
-slows all streams beside it down. What is beyond its slots waits in its own queue.
+An engine runs up to `slots` requests concurrently. Each step generates one token for
+every decoding request and prefills one chunk of the unread prompts in order of arrival,
+so a long prompt slows down all concurrent streams. Requests beyond the slots wait in
+the engine's own queue.
 """
 
 import asyncio
@@ -13,16 +14,16 @@
 
 
 class Run:
-    """One request inside a server.
+    """One request inside an engine.
 
     Parameters
     ----------
     prompt_tokens : int
-        To be read.
+        Prompt tokens to prefill.
     events : int
-        Events of the answer.
+        Number of events in the answer.
     on_event : callable
-        Called at each event.
+        Called when the engine produces an event.
     """
 
     def __init__(
@@ -41,14 +42,14 @@
 
 
 class Engine:
-    """One engine.
+    """One simulated engine.
 
     Parameters
     ----------
     settings : Engines
-        Figures of all engines of a day.
+        Parameters that all engines of a day share.
     time_factor : float
-        How many times longer this one takes.
+        Factor by which each step of this engine takes longer.
     """
 
     def __init__(self, settings: days.Engines, time_factor: float):
@@ -60,23 +61,23 @@
 
     @property
     def busy(self) -> int:
-        """Requests that run now."""
+        """Number of running requests."""
         return len(self._running)
 
     @property
     def queued(self) -> int:
-        """Requests that wait in the engine itself."""
+        """Number of requests in the engine's own queue."""
         return len(self._queue)
 
     def submit(self, run: Run) -> None:
-        """Take a request."""
+        """Queue a request and start stepping if the engine is idle."""
         self._queue.append(run)
         if not self._stepping:
             self._stepping = True
             self._step()
 
     def cancel(self, run: Run) -> None:
-        """Stop working on a request."""
+        """Remove a request from the batch or from the queue."""
         if run in self._running:
             self._running.remove(run)
         elif run in self._queue:
@@ -88,21 +89,23 @@
         if not self._running:
             self._stepping = False
             return
-        left = self._settings.chunk_tokens
+        tokens_left = self._settings.chunk_tokens
         reading = []
         decoding = []
         for run in self._running:
             if not run.unread:
                 decoding.append(run)
                 continue
-            tokens = min(left, run.unread)
-            left -= tokens
+            tokens = min(tokens_left, run.unread)
+            tokens_left -= tokens
             reading.append((run, tokens))
-        read = self._settings.chunk_tokens - left
-        spent_ms = self._settings.step_ms + self._settings.slot_ms * len(self._running)
-        spent_ms += read / self._settings.prompt_tokens_per_ms
+        read = self._settings.chunk_tokens - tokens_left
+        duration_ms = self._settings.step_ms + self._settings.slot_ms * len(
+            self._running
+        )
+        duration_ms += read / self._settings.prompt_tokens_per_ms
         loop = asyncio.get_running_loop()
-        seconds = spent_ms * self.time_factor / 1000.0
+        seconds = duration_ms * self.time_factor / 1000.0
         loop.call_later(seconds, self._apply, reading, decoding)
 
     def _apply(self, reading: list[tuple[Run, int]], decoding: list[Run]) -> None:
--- a/packages/dev/cassiaquay_dev/lab/days.py
+++ b/packages/dev/cassiaquay_dev/lab/days.py
@@ -1,4 +1,4 @@
-"""A day of the lab: a fleet, its engines and its load, from a checked TOML file."""
+"""Days: simulated scenarios of a fleet, its engines and its load, read from TOML."""
 
 import pathlib
 
@@ -10,20 +10,20 @@
 
 
 class Engines(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The engines of the only pool.
+    """The engines of the single pool.
 
     Attributes
     ----------
     count, slots : int
-        How many, and requests side by side in each.
+        Number of engines, and concurrent requests in each.
     step_ms, slot_ms : float
-        Time of a step, and what each running request adds to it.
+        Base time of a step, and the time that each running request adds.
     prompt_tokens_per_ms : float
-        Speed of reading prompts.
+        Prefill rate.
     chunk_tokens, event_tokens : int
-        Prompt tokens of one step at most; tokens of one event.
+        Maximum prompt tokens prefilled per step; output tokens per event.
     time_factors : list of float
-        Of the engines in turn: how many times longer each takes.
+        Factors on step time, assigned to the engines in rotation.
     """
 
     count: int
@@ -42,19 +42,20 @@
     Attributes
     ----------
     rank : int
-        0 is the most important.
+        Priority; 0 is the most important.
     per_second : float
-        Arrivals at load 1.
+        Arrival rate at load 1.
     prompt_mean, prompt_spread, prompt_most : float
-        Tokens; the spread is the standard deviation over the mean.
+        Prompt tokens: mean, standard deviation divided by the mean, and maximum.
     events_mean, events_spread, events_most : float
-        Events of the answer.
+        Events per answer: mean, relative standard deviation and maximum.
     objective_ms, deadline_ms, pause_ms : int
-        When the first event is late, when the caller leaves, the longest pause.
+        Time limit for the first event; time after which the caller gives up; time
+        limit between events.
     worth, late_worth : float
-        Of a request of mean size, begun in time and late.
+        Worth of a request of mean size when answered in time, and when late.
     attempts : int
-        Servers that may run one request.
+        Maximum number of servers that may run one request.
     """
 
     rank: int
@@ -74,16 +75,16 @@
 
 
 class Burst(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """More arrivals for a while.
+    """A temporary increase of the arrival rate.
 
     Attributes
     ----------
     at, seconds : float
-        From the start of the load, and how long.
+        Start, counted from the start of the load, and duration.
     factor : float
-        How many times the usual.
+        Factor on the usual arrival rate.
     kind : str
-        Which kind of request; empty for all.
+        Kind of request that is affected; empty for all.
     """
 
     at: float
@@ -93,28 +94,29 @@
 
 
 class Day(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A day.
+    """A simulated scenario.
 
     Attributes
     ----------
     instances, zones : int
-        Daemons, and the failure domains that they are spread over.
+        Number of daemons, and of failure domains that they are spread over.
     seconds : float
-        How long requests arrive.
+        Duration of the load.
     load : float
-        Factor on all arrivals.
+        Factor on all arrival rates.
     teams : int
-        Teams; the first send most.
+        Number of teams; earlier teams send more requests.
     crossing_ms, caller_ms : float
-        One way between zones, and between callers and daemons.
+        One-way delay between zones, and between callers and daemons.
     hint_spread : float
-        Error of the callers' estimates of an answer's length, of its logarithm.
+        Standard deviation of the logarithm of the error in callers' estimates of an
+        answer's length.
     engines : Engines
-        The pool.
+        The engines of the pool.
     kinds : dict of str to Kind
-        By name.
+        Kinds of request by name.
     bursts : list of Burst
-        In any order.
+        Bursts in any order.
     """
 
     instances: int
@@ -131,12 +133,12 @@
 
 
 def read(name: str) -> Day:
-    """Return a day by its name in the folder of days, or by a path.
+    """Return a day by its name in ``days/``, or by the path of its file.
 
     Raises
     ------
     SchemaError
-        When there is no such file or it does not fit.
+        When the file does not exist or does not match the schema.
     """
     path = FOLDER / f"{name}.toml"
     if not path.exists():
--- a/packages/dev/cassiaquay_dev/lab/explorer.py
+++ b/packages/dev/cassiaquay_dev/lab/explorer.py
@@ -1,7 +1,8 @@
-"""Explicit-state model checking: visit every reachable state, breadth first.
+"""Explicit-state model checking by breadth-first search of all reachable states.
 
-A model is an initial state (a ``NamedTuple``), steps that return the states which may
-come next, and invariants. The first violation found is one of the shortest.
+A model consists of an initial state (a ``NamedTuple``), a function that returns the
+possible transitions of a state, and invariants. The search order makes the trace of
+the first violation a shortest one.
 """
 
 import collections
@@ -12,28 +13,28 @@
 
 
 class Step(typing.NamedTuple, typing.Generic[State]):
-    """One thing that may happen: its name and the state after it."""
+    """A transition: its name and the state after it."""
 
     name: str
     state: State
 
 
 class Violation(typing.NamedTuple):
-    """An invariant that does not hold, and the steps that lead there."""
+    """A violated invariant and the names of the steps from the initial state to it."""
 
     invariant: str
     trace: list[str]
 
 
 class Exploration(typing.NamedTuple):
-    """What an exploration found.
+    """Result of an exploration.
 
     Attributes
     ----------
     states : int
-        States visited.
+        Number of distinct states reached.
     violation : Violation or None
-        The first one met.
+        The first violation found, if any.
     """
 
     states: int
@@ -42,29 +43,33 @@
 
 def explore(
     initial: State,
-    following: collections.abc.Callable[[State], collections.abc.Iterable[Step[State]]],
-    broken: collections.abc.Callable[[State], str],
-    most_states: int = 2_000_000,
+    successors: collections.abc.Callable[
+        [State], collections.abc.Iterable[Step[State]]
+    ],
+    violated_invariant: collections.abc.Callable[[State], str],
+    max_states: int = 2_000_000,
 ) -> Exploration:
-    """Visit all states; stop at the first for which ``broken`` names an invariant.
+    """Explore all states; stop at the first that violates an invariant.
+
+    ``violated_invariant`` returns the name of an invariant, or an empty string.
 
     Raises
     ------
     RuntimeError
-        When there are more than ``most_states``: the verdict would cover only a part.
+        When there are more than ``max_states``, since the result would be incomplete.
     """
     parents: dict[State, tuple[State, str] | None] = {initial: None}
     queue = collections.deque([initial])
     while queue:
         state = queue.popleft()
-        name = broken(state)
+        name = violated_invariant(state)
         if name:
             return Exploration(len(parents), Violation(name, _trace(parents, state)))
-        for step in following(state):
+        for step in successors(state):
             if step.state in parents:
                 continue
-            if len(parents) >= most_states:
-                raise RuntimeError(f"more than {most_states} states")
+            if len(parents) >= max_states:
+                raise RuntimeError(f"more than {max_states} states")
             parents[step.state] = (state, step.name)
             queue.append(step.state)
     return Exploration(len(parents), None)
--- a/packages/dev/cassiaquay_dev/lab/instances.py
+++ b/packages/dev/cassiaquay_dev/lab/instances.py
@@ -1,4 +1,4 @@
-"""One daemon of the lab: the daemon's own roles for admission, joined by wires."""
+"""A simulated daemon: the real admission roles on top of a simulated network."""
 
 import asyncio
 import collections.abc
@@ -20,36 +20,36 @@
 HOST = "lab"
 
 
-class Configured:
-    """A configuration that stays as it is."""
+class StaticConfiguration:
+    """A configuration that never changes."""
 
     def __init__(self, current: snapshots.Snapshot):
         self.current = current
 
     def on_accept(self, call: collections.abc.Callable[[], None]) -> None:
-        """Do nothing: it never changes."""
+        """Do nothing, since no other configuration is ever accepted."""
 
 
 class Instance:
-    """One daemon.
+    """One simulated daemon.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the instance.
     network : Network
-        All of them.
+        Network that connects all instances.
     configured : Configured
-        What is in force.
+        Configuration in force.
     policy : str
-        Registered policy that its shards are served by.
+        Registered name of the policy that serves its shards.
     """
 
     def __init__(
         self,
         name: str,
         network: simulated_network.Network,
-        configured: Configured,
+        configured: StaticConfiguration,
         policy: str = objectives.NAME,
     ):
         settings = settings_schema.Settings(
@@ -59,8 +59,8 @@
             platform=settings_schema.Platform(configuration="", instances=""),
             keeper=settings_schema.Keeper(policy=policy),
         )
-        # The roles ask of members, links and configuration just what the stand-ins
-        # have; they are typed as the daemon's own.
+        # The stand-ins implement only the methods that the roles use; the casts bypass
+        # the type check against the daemon's own classes.
         members = typing.cast(typing.Any, simulated_network.Members(network, name))
         links = typing.cast(typing.Any, network.links[name])
         known = typing.cast(typing.Any, configured)
@@ -71,7 +71,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Run its periodic jobs."""
+        """Start the periodic tasks of its roles."""
         jobs = (
             self.pauses.tick(),
             self.keeper.tick(),
@@ -83,7 +83,7 @@
 
 
 def snapshot(day: days.Day) -> snapshots.Snapshot:
-    """Return the configuration of a day."""
+    """Return a configuration snapshot with the pool, teams and tiers of a day."""
     ranks = sorted({kind.rank for kind in day.kinds.values()})
     lines = []
     for rank in ranks:
@@ -114,17 +114,17 @@
     day: days.Day,
     request: traffic.Request,
     attempt: str,
-    began_at: float,
+    started_at: float,
     deadline: float,
     current: snapshots.Snapshot,
 ) -> calls.Call:
-    """Return an attempt of a caller as the gateway would have it."""
+    """Return a caller's attempt in the form that the gateway passes to admission."""
     kind = day.kinds[request.kind]
     tokens = day.engines.event_tokens
     part = messages.PromptPart(
         rendezvous.score(request.name, "prompt"), request.prompt_tokens
     )
-    facts = headers.ParsedHeaders(
+    parsed = headers.ParsedHeaders(
         HOST,
         attempt,
         0,
@@ -138,7 +138,7 @@
     route = _route(request.kind, kind)
     team = routing.Team(request.team, None, None)
     return calls.Call(
-        "POST", "/", [], facts, b"", route, POOL, team, current, began_at, deadline
+        "POST", "/", [], parsed, b"", route, POOL, team, current, started_at, deadline
     )
 
 
--- a/packages/dev/cassiaquay_dev/lab/mechanisms.py
+++ b/packages/dev/cassiaquay_dev/lab/mechanisms.py
@@ -1,7 +1,8 @@
-"""Mechanisms of admission that the lab can switch off, each by its name.
+"""Admission mechanisms that the lab can disable by name, to measure their effect.
 
-What is worth nothing on any load is removed, with its constants and tests; this is how
-it is found. A mechanism is switched off as the daemon's code would be without it.
+A mechanism that has no effect on any load should be removed together with its constants
+and tests. Disabling patches the daemon's code so that it runs as if the mechanism did
+not exist.
 """
 
 import collections.abc
@@ -13,13 +14,13 @@
 from cassiaquay_daemon.keepers import keeper, spillover
 from cassiaquay_schema import registry
 
-Without = collections.abc.Callable[[], contextlib.AbstractContextManager[None]]
-mechanisms: registry.Registry[Without] = registry.Registry("mechanism")
+SwitchOff = collections.abc.Callable[[], contextlib.AbstractContextManager[None]]
+mechanisms: registry.Registry[SwitchOff] = registry.Registry("mechanism")
 
 
 @contextlib.contextmanager
 def switched_off(names: collections.abc.Iterable[str]) -> typing.Iterator[None]:
-    """Switch some mechanisms off for a while."""
+    """Disable the named mechanisms within the context."""
     with contextlib.ExitStack() as stack:
         for name in names:
             stack.enter_context(mechanisms.get(name)())
@@ -27,7 +28,7 @@
 
 
 @contextlib.contextmanager
-def _replaced(owner: object, name: str, value: object) -> typing.Iterator[None]:
+def _patched(owner: object, name: str, value: object) -> typing.Iterator[None]:
     before = getattr(owner, name)
     setattr(owner, name, value)
     try:
@@ -38,57 +39,55 @@
 
 @mechanisms.register("kept-slots")
 def _kept_slots() -> contextlib.AbstractContextManager[None]:
-    """Keep no slot for a request that was shed."""
-    return _replaced(reservations.Reservations, "above", lambda self, rank, now: 0)
+    """Reserve no slots for the return of shed requests."""
+    return _patched(reservations.Reservations, "above", lambda self, rank, now: 0)
 
 
 @mechanisms.register("moves")
 def _moves() -> contextlib.AbstractContextManager[None]:
-    """Send no demand to another shard."""
-    return _replaced(
+    """Move no waiting demand to another shard."""
+    return _patched(
         spillover.SpillOver, "move", lambda self, source, waiting, limit: ""
     )
 
 
 @mechanisms.register("overrun")
 def _overrun() -> contextlib.AbstractContextManager[None]:
-    """Take an answer past its estimate for one that ends now."""
-    return _replaced(forecasts, "OVERRUN_SHARE", 0.0)
+    """Assume that an answer longer than its estimate ends immediately."""
+    return _patched(forecasts, "OVERRUN_SHARE", 0.0)
 
 
 @mechanisms.register("longest-at-once")
 def _longest_at_once() -> contextlib.AbstractContextManager[None]:
-    """Let the longest answers wait as others do."""
-    return _replaced(
-        objectives.Objectives, "_is_too_long", lambda self, waiting, now: 0
-    )
+    """Queue the longest answers like all others instead of placing them at once."""
+    return _patched(objectives.Objectives, "_is_too_long", lambda self, waiting, now: 0)
 
 
 @mechanisms.register("long-prompts-wait")
 def _long_prompts_wait() -> contextlib.AbstractContextManager[None]:
-    """Refuse long prompts as short ones, but for those that can never be in time."""
-    return _replaced(objectives, "LONG_SHARE", 1.0)
+    """Refuse long prompts like short ones, except those that can never be in time."""
+    return _patched(objectives, "LONG_SHARE", 1.0)
 
 
 @mechanisms.register("pause-guard")
 def _pause_guard() -> contextlib.AbstractContextManager[None]:
-    """Place prompts regardless of the streams that they stop."""
-    return _replaced(objectives, "PAUSE_SHARE", math.inf)
+    """Place prompts regardless of the pauses that they cause in running streams."""
+    return _patched(objectives, "PAUSE_SHARE", math.inf)
 
 
 @mechanisms.register("finish-guard")
 def _finish_guard() -> contextlib.AbstractContextManager[None]:
-    """Place answers regardless of whether they can end."""
-    return _replaced(objectives, "FINISH_SHARE", math.inf)
+    """Place requests regardless of whether they can finish by their deadline."""
+    return _patched(objectives, "FINISH_SHARE", math.inf)
 
 
 @mechanisms.register("return-later")
 def _return_later() -> contextlib.AbstractContextManager[None]:
-    """Tell refused callers to be back as soon as may be."""
-    return _replaced(objectives, "RETRY_AFTER_SHARE", 0.0)
+    """Set Retry-After of refusals to the shortest permitted time."""
+    return _patched(objectives, "RETRY_AFTER_SHARE", 0.0)
 
 
 @mechanisms.register("early-shards")
 def _early_shards() -> contextlib.AbstractContextManager[None]:
-    """Open a shard at its first demand only."""
-    return _replaced(keeper.Keeper, "_open_early", lambda self: None)
+    """Open a shard only when its first demand arrives."""
+    return _patched(keeper.Keeper, "_open_early", lambda self: None)
--- a/packages/dev/cassiaquay_dev/lab/ownership_model.py
+++ b/packages/dev/cassiaquay_dev/lab/ownership_model.py
@@ -1,12 +1,13 @@
-"""A model of the ownership rules, small enough to visit every state of it.
+"""A model of the ownership rules, small enough for exhaustive exploration.
 
-One application call, marked non-idempotent, tries up to two ids of one owner. The
-network may delay, reorder and repeat every message for ever: a message once sent stays
-deliverable. The owner may die and come back as another incarnation at any moment; time
-may pass the token's expiry at any moment; the keeper's permits come at any moment.
+The owner is the instance that accepts a request, and is named in the request's id. One
+non-idempotent application call tries up to two ids of one owner. The network may delay,
+reorder and repeat messages without limit: a message that was sent stays deliverable.
+At any moment the owner may crash and restart as another incarnation, the token in the
+ids may expire, and the keeper may grant a permit.
 
-Each rule of the owner that the promises rest on can be left out by name, see `RULES`;
-the tests show that each one is needed.
+Each rule that the guarantees depend on can be disabled by name, see `RULES`; the tests
+show that disabling any of them leads to a violation.
 """
 
 import typing
@@ -15,7 +16,7 @@
 
 IDS = (0, 1)
 
-# States of an id in the owner's table.
+# States of an id in the owner's request table; ABSENT when it has no entry.
 ABSENT = "absent"
 WAITING = "waiting"
 CONNECTING = "connecting"
@@ -23,8 +24,8 @@
 FINISHED = "finished"
 REFUSED = "refused"
 
-# What a caller has been told of an id.
-NOTHING = "nothing"
+# Outcome of an id that was reported to the caller.
+NO_REPORT = "nothing"
 NOT_RUN = "not_run"
 UNKNOWN = "outcome_unknown"
 COMPLETED = "completed"
@@ -42,45 +43,45 @@
 )
 
 
-class World(typing.NamedTuple):
-    """A state of everything.
+class SystemState(typing.NamedTuple):
+    """A state of the caller, the network, the owner and the back ends.
 
     Attributes
     ----------
     table : tuple of str
-        The owner's table by id.
+        State of each id in the owner's table.
     runs : tuple of int
-        Dispatches that back ends saw, by id.
+        Number of dispatches that reached a back end, by id; counted up to 2.
     told : tuple of str
-        What the caller has been told, by id.
+        Outcome reported to the caller, by id.
     posted, cancelled : tuple of bool
-        Whether a POST or cancel of the id is on the network, to be delivered at any
-        moment and any number of times.
+        Whether a POST or cancel of the id was sent; from then on the network may
+        deliver it at any moment and any number of times.
     expired : bool
         Whether the ids' token has expired.
     reborn : bool
-        Whether the owner has died and come back as another incarnation.
+        Whether the owner was replaced by another incarnation.
     """
 
     table: tuple[str, ...] = (ABSENT, ABSENT)
     runs: tuple[int, ...] = (0, 0)
-    told: tuple[str, ...] = (NOTHING, NOTHING)
+    reported: tuple[str, ...] = (NO_REPORT, NO_REPORT)
     posted: tuple[bool, ...] = (False, False)
     cancelled: tuple[bool, ...] = (False, False)
     expired: bool = False
-    reborn: bool = False
+    replaced: bool = False
 
 
-Steps = typing.Iterator[explorer.Step[World]]
+Steps = typing.Iterator[explorer.Step[SystemState]]
 
 
 class Ownership:
-    """The model with some of its rules left out.
+    """The model, optionally with one rule disabled.
 
     Parameters
     ----------
     without : str
-        A rule of `RULES` that the owner or caller does not follow; empty for none.
+        Rule of `RULES` that the owner or caller does not follow; empty for none.
     """
 
     def __init__(self, without: str = ""):
@@ -89,141 +90,164 @@
         self._without = without
 
     def check(self) -> explorer.Exploration:
-        """Visit all states."""
-        return explorer.explore(World(), self.following, broken)
+        """Explore all states."""
+        return explorer.explore(SystemState(), self.successors, violated_invariant)
 
-    def following(self, world: World) -> Steps:
-        """Return all that may happen next."""
+    def successors(self, system: SystemState) -> Steps:
+        """Yield all possible next steps of a state."""
         for number in IDS:
-            yield from self._caller(world, number)
-            yield from self._arrivals(world, number)
-            yield from self._owner(world, number)
-        if not world.expired:
-            yield explorer.Step("the token expires", world._replace(expired=True))
-        if not world.reborn:
-            born = world._replace(table=World().table, reborn=True)
-            yield explorer.Step("the owner dies and is replaced", born)
+            yield from self._caller_steps(system, number)
+            yield from self._deliveries(system, number)
+            yield from self._owner_steps(system, number)
+        if not system.expired:
+            yield explorer.Step("the token expires", system._replace(expired=True))
+        if not system.replaced:
+            after_restart = system._replace(table=SystemState().table, replaced=True)
+            yield explorer.Step("the owner dies and is replaced", after_restart)
 
     def _follows(self, rule: str) -> bool:
         return rule != self._without
 
-    def _caller(self, world: World, number: int) -> Steps:
-        if not world.posted[number] and self._may_use(world, number):
-            posted = _put(world.posted, number, True)
-            yield explorer.Step(f"POST {number}", world._replace(posted=posted))
-        if world.posted[number] and not world.cancelled[number]:
-            cancelled = _put(world.cancelled, number, True)
-            yield explorer.Step(f"cancel {number}", world._replace(cancelled=cancelled))
-
-    def _may_use(self, world: World, number: int) -> bool:
+    def _caller_steps(self, system: SystemState, number: int) -> Steps:
+        if not system.posted[number] and self._may_post(system, number):
+            posted = _with_item(system.posted, number, True)
+            yield explorer.Step(f"POST {number}", system._replace(posted=posted))
+        if system.posted[number] and not system.cancelled[number]:
+            cancelled = _with_item(system.cancelled, number, True)
+            yield explorer.Step(
+                f"cancel {number}", system._replace(cancelled=cancelled)
+            )
+
+    def _may_post(self, system: SystemState, number: int) -> bool:
         if number == 0:
             return True
         if self._follows("a new id only after not run"):
-            return world.told[0] == NOT_RUN
-        return world.told[0] in (NOT_RUN, UNKNOWN)
-
-    def _arrivals(self, world: World, number: int) -> Steps:
-        """Deliver messages: at the incarnation named in the id, or elsewhere."""
-        mine = not world.reborn or not self._follows("incarnation named in the id")
-        if world.posted[number]:
-            if mine:
-                yield from self._post(world, number)
-            yield from self._elsewhere(world, number)
-        if world.cancelled[number] and mine:
-            yield from self._cancel(world, number)
-
-    def _post(self, world: World, number: int) -> Steps:
-        state = world.table[number]
+            return system.reported[0] == NOT_RUN
+        return system.reported[0] in (NOT_RUN, UNKNOWN)
+
+    def _deliveries(self, system: SystemState, number: int) -> Steps:
+        """Deliver messages to the incarnation named in the id, or elsewhere."""
+        at_owner = not system.replaced or not self._follows(
+            "incarnation named in the id"
+        )
+        if system.posted[number]:
+            if at_owner:
+                yield from self._deliver_post(system, number)
+            yield from self._deliver_elsewhere(system, number)
+        if system.cancelled[number] and at_owner:
+            yield from self._deliver_cancel(system, number)
+
+    def _deliver_post(self, system: SystemState, number: int) -> Steps:
+        state = system.table[number]
         if state == REFUSED and not self._follows("a refused id stays refused"):
             state = ABSENT
         if state == ABSENT:
-            if world.expired and self._follows("first seen after expiry is unknown"):
-                yield _notify(f"expired {number}", world, number, UNKNOWN)
+            if system.expired and self._follows("first seen after expiry is unknown"):
+                yield _report(f"expired {number}", system, number, UNKNOWN)
                 return
-            yield _move(f"{number} is accepted", world, number, WAITING)
-            refused = _move(f"{number} is shed", world, number, REFUSED)
-            yield _notify(refused.name, refused.state, number, NOT_RUN)
+            yield _set_entry(f"{number} is accepted", system, number, WAITING)
+            refused = _set_entry(f"{number} is shed", system, number, REFUSED)
+            yield _report(refused.name, refused.state, number, NOT_RUN)
             return
         if state == REFUSED:
-            yield _notify(f"{number} stays refused", world, number, NOT_RUN)
+            yield _report(f"{number} stays refused", system, number, NOT_RUN)
         if state == FINISHED:
-            yield _notify(f"{number} is answered", world, number, COMPLETED)
-
-    def _elsewhere(self, world: World, number: int) -> Steps:
-        """Let an instance that cannot reach the owner look at the back ends."""
-        if world.runs[number]:
-            yield _notify(f"{number} is found at an engine", world, number, COMPLETED)
-        told = UNKNOWN if self._follows("an unreachable owner is unknown") else NOT_RUN
-        yield _notify(f"{number} is found nowhere", world, number, told)
-
-    def _cancel(self, world: World, number: int) -> Steps:
-        state = world.table[number]
+            yield _report(f"{number} is answered", system, number, COMPLETED)
+
+    def _deliver_elsewhere(self, system: SystemState, number: int) -> Steps:
+        """Deliver a POST to an instance that cannot reach the owner.
+
+        It looks the id up at the back ends and reports what it finds.
+        """
+        if system.runs[number]:
+            yield _report(f"{number} is found at an engine", system, number, COMPLETED)
+        reported = (
+            UNKNOWN if self._follows("an unreachable owner is unknown") else NOT_RUN
+        )
+        yield _report(f"{number} is found nowhere", system, number, reported)
+
+    def _deliver_cancel(self, system: SystemState, number: int) -> Steps:
+        state = system.table[number]
         if state in (WAITING, CONNECTING):
-            refused = _move(f"{number} is cancelled", world, number, REFUSED)
-            yield _notify(refused.name, refused.state, number, NOT_RUN)
+            refused = _set_entry(f"{number} is cancelled", system, number, REFUSED)
+            yield _report(refused.name, refused.state, number, NOT_RUN)
         if state == DISPATCHED:
-            yield _notify(f"{number} is cancelled late", world, number, UNKNOWN)
-        if state == ABSENT and not world.expired:
-            closed = REFUSED
+            yield _report(f"{number} is cancelled late", system, number, UNKNOWN)
+        if state == ABSENT and not system.expired:
+            entry = REFUSED
             if not self._follows("cancelling an unseen id closes it"):
-                closed = ABSENT
-            refused = _move(f"{number} is cancelled unseen", world, number, closed)
-            yield _notify(refused.name, refused.state, number, NOT_RUN)
+                entry = ABSENT
+            refused = _set_entry(f"{number} is cancelled unseen", system, number, entry)
+            yield _report(refused.name, refused.state, number, NOT_RUN)
 
-    def _owner(self, world: World, number: int) -> Steps:
-        state = world.table[number]
+    def _owner_steps(self, system: SystemState, number: int) -> Steps:
+        state = system.table[number]
         if state == WAITING:
-            yield _move(f"{number} has a permit, connects", world, number, CONNECTING)
-            refused = _move(f"{number} is shed waiting", world, number, REFUSED)
-            yield _notify(refused.name, refused.state, number, NOT_RUN)
+            yield _set_entry(
+                f"{number} has a permit, connects", system, number, CONNECTING
+            )
+            refused = _set_entry(f"{number} is shed waiting", system, number, REFUSED)
+            yield _report(refused.name, refused.state, number, NOT_RUN)
         if state == CONNECTING:
-            yield _move(f"{number} cannot connect", world, number, WAITING)
-            yield _dispatch(world, number, DISPATCHED)
+            yield _set_entry(f"{number} cannot connect", system, number, WAITING)
+            yield _dispatch(system, number, DISPATCHED)
         if state == REFUSED and not self._follows("looks again before the first byte"):
-            yield _dispatch(world, number, REFUSED)
+            yield _dispatch(system, number, REFUSED)
         if state == DISPATCHED:
-            yield _move(f"{number} ends", world, number, FINISHED)
-            yield _notify(f"{number} breaks off", world, number, UNKNOWN)
+            yield _set_entry(f"{number} ends", system, number, FINISHED)
+            yield _report(f"{number} breaks off", system, number, UNKNOWN)
             if not self._follows("never unmarks a dispatch"):
-                yield _move(f"{number} is tried again", world, number, WAITING)
+                yield _set_entry(f"{number} is tried again", system, number, WAITING)
         if state in (FINISHED, REFUSED):
             keeps = self._follows("keeps entries until the token expires")
-            if world.expired or not keeps:
-                yield _move(f"{number} is dropped", world, number, ABSENT)
+            if system.expired or not keeps:
+                yield _set_entry(f"{number} is dropped", system, number, ABSENT)
 
 
-def broken(world: World) -> str:
-    """Return the name of the first promise that does not hold, or nothing."""
+def violated_invariant(system: SystemState) -> str:
+    """Return the first guarantee that a state violates, or an empty string."""
     for number in IDS:
-        if world.runs[number] > 1:
+        if system.runs[number] > 1:
             return "dispatched at most once"
-        if world.told[number] == NOT_RUN and world.runs[number]:
+        if system.reported[number] == NOT_RUN and system.runs[number]:
             return "not run means that it did not run"
-        if world.told[number] == COMPLETED and not world.runs[number]:
+        if system.reported[number] == COMPLETED and not system.runs[number]:
             return "completed means that it ran"
-    if sum(world.runs) > 1:
+    if sum(system.runs) > 1:
         return "a non-idempotent call runs at most once"
     return ""
 
 
-def _put(values: tuple[typing.Any, ...], number: int, value: typing.Any) -> typing.Any:
+def _with_item(
+    values: tuple[typing.Any, ...], number: int, value: typing.Any
+) -> typing.Any:
     return (*values[:number], value, *values[number + 1 :])
 
 
-def _move(name: str, world: World, number: int, state: str) -> explorer.Step[World]:
-    return explorer.Step(name, world._replace(table=_put(world.table, number, state)))
+def _set_entry(
+    name: str, system: SystemState, number: int, state: str
+) -> explorer.Step[SystemState]:
+    return explorer.Step(
+        name, system._replace(table=_with_item(system.table, number, state))
+    )
 
 
-def _notify(name: str, world: World, number: int, word: str) -> explorer.Step[World]:
-    # The first word stands: callers act on it.
-    if world.told[number] != NOTHING:
-        return explorer.Step(name, world)
-    return explorer.Step(name, world._replace(told=_put(world.told, number, word)))
+def _report(
+    name: str, system: SystemState, number: int, outcome: str
+) -> explorer.Step[SystemState]:
+    # The first report is final, since the caller acts on it.
+    if system.reported[number] != NO_REPORT:
+        return explorer.Step(name, system)
+    return explorer.Step(
+        name, system._replace(reported=_with_item(system.reported, number, outcome))
+    )
 
 
-def _dispatch(world: World, number: int, state: str) -> explorer.Step[World]:
-    runs = _put(world.runs, number, min(world.runs[number] + 1, 2))
-    table = _put(world.table, number, state)
+def _dispatch(
+    system: SystemState, number: int, state: str
+) -> explorer.Step[SystemState]:
+    runs = _with_item(system.runs, number, min(system.runs[number] + 1, 2))
+    table = _with_item(system.table, number, state)
     return explorer.Step(
-        f"{number} is dispatched", world._replace(runs=runs, table=table)
+        f"{number} is dispatched", system._replace(runs=runs, table=table)
     )
--- a/packages/dev/cassiaquay_dev/lab/shard_engines.py
+++ b/packages/dev/cassiaquay_dev/lab/shard_engines.py
@@ -1,4 +1,4 @@
-"""Engines of the shard lab: the stand-in's continuous batching in virtual time."""
+"""Simulated engines of the shard lab: continuous batching as in the engine stand-in."""
 
 import collections
 import collections.abc
@@ -13,7 +13,7 @@
 
 
 class Timeline:
-    """Virtual time: calls in the order of their times."""
+    """Virtual clock and queue of scheduled calls, run in order of time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -21,16 +21,16 @@
         self._number = 0
 
     def at(self, when: float, call: collections.abc.Callable[[], None]) -> None:
-        """Call ``call`` at a time."""
+        """Schedule ``call`` for a time, or for now if that has passed."""
         self._number += 1
         heapq.heappush(self._calls, (max(when, self.now), self._number, call))
 
     def after(self, seconds: float, call: collections.abc.Callable[[], None]) -> None:
-        """Call ``call`` some seconds from now."""
+        """Schedule ``call`` after a delay."""
         self.at(self.now + seconds, call)
 
     def run(self, until: float) -> None:
-        """Run the calls up to a time."""
+        """Run all calls that are due up to a time."""
         while self._calls and self._calls[0][0] <= until:
             self.now, _, call = heapq.heappop(self._calls)
             call()
@@ -60,12 +60,12 @@
 
     @property
     def unread(self) -> int:
-        """Prompt tokens still to be read."""
+        """Prompt tokens that are neither cached nor prefilled."""
         return self.prompt_tokens - self.cached - self.prefilled
 
 
-class FakeEngine:
-    """One engine."""
+class SimulatedEngine:
+    """One simulated engine with a prefix cache."""
 
     def __init__(self, spec: deployments.EngineSpec, timeline: Timeline):
         self.spec = spec
@@ -84,14 +84,14 @@
         self._stepping = False
 
     def submit(self, job: Job) -> None:
-        """Queue a request."""
+        """Queue a request and start stepping if the engine is idle."""
         self._waiting.append(job)
         if not self._stepping:
             self._stepping = True
             self._step()
 
     def cancel(self, job: Job) -> None:
-        """Stop a request; what was read for it is wasted."""
+        """Cancel a request and count its prefilled tokens as wasted."""
         job.cancelled = True
         self.wasted += job.prefilled
         if job in self._running:
@@ -108,19 +108,19 @@
         if not self._running:
             self._stepping = False
             return
-        left = CHUNK_TOKENS
+        tokens_left = CHUNK_TOKENS
         decoding = []
         reading = []
         for job in self._running:
             if job.unread <= 0:
                 decoding.append(job)
                 continue
-            tokens = min(left, job.unread)
+            tokens = min(tokens_left, job.unread)
             if tokens:
                 reading.append((job, tokens))
-                left -= tokens
+                tokens_left -= tokens
         seconds = self.spec.step_ms / 1000.0 + DECODE_SECONDS * len(decoding)
-        seconds += (CHUNK_TOKENS - left) / self.spec.prefill_tokens_per_second
+        seconds += (CHUNK_TOKENS - tokens_left) / self.spec.prefill_tokens_per_second
         seconds *= self.slow_factor
         self.busy_seconds += seconds
         self._timeline.after(seconds, lambda: self._apply(decoding, reading))
--- a/packages/dev/cassiaquay_dev/lab/shard_lab.py
+++ b/packages/dev/cassiaquay_dev/lab/shard_lab.py
@@ -1,8 +1,9 @@
-"""A policy on one shard in virtual time, paired with others on the same arrivals.
+"""Compare scheduling policies on one shard in virtual time, on the same arrivals.
 
 ``python -m cassiaquay_dev.lab.shard_lab --deployment brindley --load 1.5 --seeds 3``.
-The keeper's code is the daemon's own; engines and owners are small fakes. It answers
-which of two policies is better, not how fast a daemon is: that is for ``make bench``.
+The shard and the policies (the keeper's side) are the daemon's own code; the engines
+and the owner (the side that sends demands and dispatches requests) are simulated. The
+results rank policies; ``make bench`` measures the speed of real daemons.
 """
 
 import functools
@@ -26,16 +27,16 @@
 NETWORK_SECONDS = 0.001
 PROGRESS_SECONDS = 0.02
 TICK_SECONDS = 0.1
-SHORT_TOKENS = 800
+SHORT_PROMPT_TOKENS = 800
 DEFAULT_WORKLOADS = {"brindley": "brindley-evening", "veiqia": "veiqia-fittings"}
-HEAD = (
+TABLE_HEADER = (
     "policy        good of-bound by tier               "
     "wasted cached short95 long50 busy keeper-ms"
 )
 
 
 class Prepared(typing.NamedTuple):
-    """An arrival with what all policies would compute from it."""
+    """An arrival with its rank and prompt hashes, computed once for all policies."""
 
     arrival: workloads.Arrival
     rank: int
@@ -44,7 +45,7 @@
 
 
 class Outcome(typing.NamedTuple):
-    """What became of an arrival; seconds after it arrived, 0 where there is none."""
+    """Result of an arrival; seconds from it to the first token (0 if none) and end."""
 
     prepared: Prepared
     code: str
@@ -53,7 +54,7 @@
 
 
 class Fault(typing.NamedTuple):
-    """An engine that slows down by a factor at a time."""
+    """A slowdown of one engine by a factor from a given time on."""
 
     at: float
     engine: str
@@ -61,7 +62,7 @@
 
 
 class Summary(typing.NamedTuple):
-    """Figures of one run."""
+    """Summary statistics of one run."""
 
     goodput: float
     of_bound: float
@@ -76,7 +77,7 @@
 
 
 class Case(typing.NamedTuple):
-    """The model requests of one seeded run and the most that can be in time."""
+    """The model requests of one seed and the upper bound of requests in time."""
 
     prepared: list[Prepared]
     limit: bounds.Bound
@@ -89,7 +90,7 @@
     seconds: float,
     load: float,
 ) -> Case:
-    """Return a seeded case at a multiple of the engines' computed capacity."""
+    """Return the case of a seed, with ``load`` times the engines' computed capacity."""
     mix = bench_workloads.registered.get(workload)
 
     def build(rate: float) -> list[workloads.Arrival]:
@@ -116,14 +117,14 @@
     return Case(prepared, limit)
 
 
-class Lab:
-    """One shard, its engines and one owner, in virtual time."""
+class ShardSimulation:
+    """One shard, its engines and one owner in virtual time."""
 
     def __init__(self, deployment: deployments.Deployment, policy: str):
         self.timeline = shard_engines.Timeline()
         self.outcomes: list[Outcome] = []
         self.engines = {
-            spec.name: shard_engines.FakeEngine(spec, self.timeline)
+            spec.name: shard_engines.SimulatedEngine(spec, self.timeline)
             for spec in deployment.engines
         }
         self.instance = "lab"
@@ -147,13 +148,13 @@
         self._steps: list[tuple[float, messages.Step]] = []
 
     def run(self, arrivals: list[Prepared], seconds: float) -> None:
-        """Run all arrivals and some time more."""
+        """Simulate all arrivals, and 20 s more so that requests can end."""
         for number, prepared in enumerate(arrivals):
             request_id = f"r{number}"
             call = functools.partial(self._arrive, request_id, prepared)
             self.timeline.at(prepared.arrival.at, call)
         self.timeline.after(TICK_SECONDS, self._tick)
-        self.timeline.after(PROGRESS_SECONDS, self._progress)
+        self.timeline.after(PROGRESS_SECONDS, self._report_progress)
         self.timeline.after(self.settings.keeper.renew_seconds, self._renew)
         before = clock.use(lambda: self.timeline.now)
         try:
@@ -162,15 +163,15 @@
             clock.use(before)
 
     def slow(self, fault: Fault) -> None:
-        """Plan a fault."""
+        """Schedule a fault."""
 
-        def act() -> None:
+        def apply_fault() -> None:
             self.engines[fault.engine].slow_factor = fault.factor
 
-        self.timeline.at(fault.at, act)
+        self.timeline.at(fault.at, apply_fault)
 
     def send(self, message: messages.Message) -> bool:
-        """Take the keeper's answers, as an owner's link does."""
+        """Handle a message from the keeper to the owner, as the owner's link would."""
         if isinstance(message, messages.Permit):
             self.timeline.after(NETWORK_SECONDS, lambda: self._dispatch(message))
         elif isinstance(message, messages.Shed):
@@ -199,9 +200,9 @@
         started = time.perf_counter()
         self._shard.add(demand, self)
         self.keeper_seconds += time.perf_counter() - started
-        self._serve_soon()
+        self._schedule_serve()
 
-    def _serve_soon(self) -> None:
+    def _schedule_serve(self) -> None:
         if not self._serve_due:
             self._serve_due = True
             self.timeline.after(0.0, self._serve)
@@ -223,24 +224,25 @@
             prefixes.tokens(arrival.prompt),
             arrival.max_tokens,
             prepared.hashes,
-            lambda: self._first(key),
-            lambda: self._end(key, "completed"),
+            lambda: self._record_first_token(key),
+            lambda: self._end_job(key, "completed"),
         )
         self._jobs[key] = (job, permit.server, now)
         step = messages.Step(key, permit.server, False, 0.0)
         self._steps.append((now, step))
         self.engines[permit.server].submit(job)
         self.timeline.at(
-            arrival.at + arrival.deadline, lambda: self._end(key, "deadline_exceeded")
+            arrival.at + arrival.deadline,
+            lambda: self._end_job(key, "deadline_exceeded"),
         )
 
-    def _first(self, key: str) -> None:
+    def _record_first_token(self, key: str) -> None:
         job, server, _ = self._jobs[key]
         now = self.timeline.now
         self._steps.append((now, messages.Step(key, server, True, 0.0)))
         job.first_at = now
 
-    def _end(self, key: str, code: str) -> None:
+    def _end_job(self, key: str, code: str) -> None:
         prepared = self._ids.pop(key, None)
         if prepared is None:
             return
@@ -269,16 +271,16 @@
         self._policy.learn(release)
         self._shard.drop(release.id)
         self.keeper_seconds += time.perf_counter() - started
-        self._serve_soon()
+        self._schedule_serve()
 
     def _tick(self) -> None:
         started = time.perf_counter()
         self._shard.expire()
         self.keeper_seconds += time.perf_counter() - started
-        self._serve_soon()
+        self._schedule_serve()
         self.timeline.after(TICK_SECONDS, self._tick)
 
-    def _progress(self) -> None:
+    def _report_progress(self) -> None:
         now = self.timeline.now
         steps = [s._replace(age_ms=(now - at) * 1000.0) for at, s in self._steps]
         self._steps.clear()
@@ -286,8 +288,8 @@
             started = time.perf_counter()
             self._shard.progress(messages.Progress("engines#0", steps))
             self.keeper_seconds += time.perf_counter() - started
-            self._serve_soon()
-        self.timeline.after(PROGRESS_SECONDS, self._progress)
+            self._schedule_serve()
+        self.timeline.after(PROGRESS_SECONDS, self._report_progress)
 
     def _renew(self) -> None:
         items = []
@@ -307,9 +309,9 @@
 
 
 def summarize(
-    lab: Lab, case: Case, deployment: deployments.Deployment, seconds: float
+    lab: ShardSimulation, case: Case, deployment: deployments.Deployment, seconds: float
 ) -> Summary:
-    """Return the figures of a finished run."""
+    """Return the summary of a finished run."""
     arrivals = case.prepared
     good = [item for item in lab.outcomes if item.code == "completed"]
     by_tier = []
@@ -349,7 +351,7 @@
     faults: typing.Sequence[Fault] = (),
 ) -> Summary:
     """Run one policy on a case."""
-    lab = Lab(deployment, policy)
+    lab = ShardSimulation(deployment, policy)
     for fault in faults:
         lab.slow(fault)
     lab.run(case.prepared, seconds)
@@ -357,7 +359,7 @@
 
 
 def _is_short(item: Outcome) -> bool:
-    return prefixes.tokens(item.prepared.arrival.prompt) < SHORT_TOKENS
+    return prefixes.tokens(item.prepared.arrival.prompt) < SHORT_PROMPT_TOKENS
 
 
 def _quantile(values: list[float], share: float) -> float:
@@ -375,7 +377,7 @@
     policy: str = f"{keeper.DEFAULT_POLICY},round-robin",
     slow: float = 1.0,
 ) -> None:
-    """Print a line for each policy: means over the seeds."""
+    """Simulate each policy on the same seeds and print its means in a table."""
     chosen = deployments.deployments.get(deployment)
     mix = workload or DEFAULT_WORKLOADS[deployment]
     names = policy.split(",") if isinstance(policy, str) else list(policy)
@@ -387,13 +389,13 @@
         case = prepare(chosen, mix, seed, seconds, load)
         for name in names:
             found[name].append(run(chosen, name, case, seconds, faults))
-    print(HEAD)
+    print(TABLE_HEADER)
     for name in names:
-        print(line(name, found[name]))
+        print(table_line(name, found[name]))
 
 
-def line(name: str, found: list[Summary]) -> str:
-    """Return one line of the table."""
+def table_line(name: str, found: list[Summary]) -> str:
+    """Return the table line of a policy."""
 
     def mean(pick: typing.Callable[[Summary], float]) -> float:
         return statistics.mean(pick(item) for item in found)
--- a/packages/dev/cassiaquay_dev/lab/simulated_network.py
+++ b/packages/dev/cassiaquay_dev/lab/simulated_network.py
@@ -1,7 +1,7 @@
-"""Links and members of the lab: messages between instances of one process.
+"""Simulated links and membership between instances in one process.
 
-They stand where the daemon has connections and heartbeats. Each message takes its time
-on the way, and those of one link arrive in order.
+They replace the daemon's connections and heartbeats. Messages are delayed by the
+distance between zones; those of one channel arrive in order.
 """
 
 import asyncio
@@ -11,38 +11,38 @@
 from cassiaquay_daemon import rendezvous
 from cassiaquay_schema import messages
 
-Handler = collections.abc.Callable[["Wire", typing.Any], None]
-# Messages of one link that would arrive at the same moment keep their order.
-SPACING_SECONDS = 1e-9
+Handler = collections.abc.Callable[["Channel", typing.Any], None]
+# Minimum time between messages of a channel, so that they arrive in order.
+MIN_SPACING_SECONDS = 1e-9
 
 
 class Links:
-    """One instance's handlers, as its roles register them."""
+    """Message handlers of one instance, registered by its roles."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Handler] = {}
         self.received = 0
 
     def on(self, kind: type, handler: Handler) -> None:
-        """Let a handler take the messages of one type."""
+        """Register the handler for messages of one type."""
         self.handlers[kind] = handler
 
-    def on_up(self, call: collections.abc.Callable[["Wire"], None]) -> None:
-        """Do nothing: wires are there from the start."""
+    def on_up(self, call: collections.abc.Callable[["Channel"], None]) -> None:
+        """Do nothing: channels are up from the start."""
 
-    def on_down(self, call: collections.abc.Callable[["Wire"], None]) -> None:
-        """Do nothing: wires do not break."""
+    def on_down(self, call: collections.abc.Callable[["Channel"], None]) -> None:
+        """Do nothing: channels never break."""
 
 
-class Wire:
-    """The way from one instance to another.
+class Channel:
+    """A channel from one instance to another.
 
     Parameters
     ----------
     network : Network
         All instances.
     source, target : str
-        Names of the two.
+        Names of the sending and the receiving instance.
     """
 
     def __init__(self, network: "Network", source: str, target: str):
@@ -52,10 +52,10 @@
         self._last_at = 0.0
 
     def send(self, message: messages.Message) -> bool:
-        """Send a message; it is lost when the target is gone by then."""
+        """Send a message; it is dropped if the target has no handler for its type."""
         loop = asyncio.get_running_loop()
         delay = self._network.delay(self._source, self.instance)
-        self._last_at = max(loop.time() + delay, self._last_at + SPACING_SECONDS)
+        self._last_at = max(loop.time() + delay, self._last_at + MIN_SPACING_SECONDS)
         loop.call_at(self._last_at, self._deliver, message)
         return True
 
@@ -64,11 +64,11 @@
         links.received += 1
         handler = links.handlers.get(type(message))
         if handler is not None:
-            handler(self._network.wire(self.instance, self._source), message)
+            handler(self._network.channel(self.instance, self._source), message)
 
 
-class Named(typing.NamedTuple):
-    """A live instance, as far as the keeper roles ask."""
+class LiveInstance(typing.NamedTuple):
+    """A live instance, reduced to the field that the keeper roles use."""
 
     instance: str
 
@@ -79,30 +79,30 @@
     Parameters
     ----------
     zones : dict of str to str
-        Zone of each instance.
+        Zone (failure domain) of each instance.
     crossing_seconds : float
-        One way between zones.
+        One-way delay between zones; a tenth of it within a zone.
     """
 
     def __init__(self, zones: dict[str, str], crossing_seconds: float):
         self.zones = zones
         self.links = {name: Links() for name in zones}
-        self.members = [Named(name) for name in zones]
+        self.members = [LiveInstance(name) for name in zones]
         self._crossing_seconds = crossing_seconds
-        self._wires: dict[tuple[str, str], Wire] = {}
+        self._channels: dict[tuple[str, str], Channel] = {}
         self._keepers: dict[str, str] = {}
 
     def delay(self, source: str, target: str) -> float:
-        """Return the seconds of the way between two instances."""
+        """Return the one-way delay between two instances in seconds."""
         if self.zones[source] == self.zones[target]:
             return self._crossing_seconds / 10.0
         return self._crossing_seconds
 
-    def wire(self, source: str, target: str) -> Wire:
-        """Return the way from one instance to another."""
-        found = self._wires.get((source, target))
+    def channel(self, source: str, target: str) -> Channel:
+        """Return the channel from one instance to another."""
+        found = self._channels.get((source, target))
         if found is None:
-            found = self._wires[(source, target)] = Wire(self, source, target)
+            found = self._channels[(source, target)] = Channel(self, source, target)
         return found
 
     def keeper_of(self, key: str) -> str:
@@ -113,14 +113,14 @@
 
 
 class Members:
-    """One instance's view of the network: all live and known.
+    """One instance's view of the membership, in which all instances are live.
 
     Parameters
     ----------
     network : Network
         All instances.
     instance : str
-        Name of this one.
+        Name of the instance whose view this is.
     """
 
     def __init__(self, network: Network, instance: str):
@@ -132,23 +132,23 @@
         """Return the instance that keeps a key."""
         return self._network.keeper_of(key)
 
-    def alive(self) -> list[Named]:
+    def alive(self) -> list[LiveInstance]:
         """Return all instances."""
         return self._network.members
 
-    def serving(self) -> list[Named]:
+    def serving(self) -> list[LiveInstance]:
         """Return all instances."""
         return self._network.members
 
     def fleet_size(self) -> int:
-        """Return how many share a budget."""
+        """Return the number of instances that share a budget."""
         return len(self._network.members)
 
-    def link(self, instance: str) -> Wire | None:
-        """Return the way to another instance; None when there is none of that name."""
+    def link(self, instance: str) -> Channel | None:
+        """Return the channel to an instance, or None if no instance has that name."""
         if instance not in self._network.zones:
             return None
-        return self._network.wire(self._instance, instance)
+        return self._network.channel(self._instance, instance)
 
     def on_change(self, call: collections.abc.Callable[[], None]) -> None:
-        """Do nothing: nobody comes or goes."""
+        """Do nothing: membership never changes."""
--- a/packages/dev/cassiaquay_dev/lab/simulation.py
+++ b/packages/dev/cassiaquay_dev/lab/simulation.py
@@ -1,4 +1,4 @@
-"""Plays a day: callers, instances and engines in virtual time, and what came of it."""
+"""Simulate a day: callers, daemon instances and engines in virtual time."""
 
 import asyncio
 import collections
@@ -10,27 +10,27 @@
 
 from . import batching, days, instances, simulated_network, traffic
 
-# Instances know each other and all shards are open before the load begins.
+# Lets instances discover each other and all shards open before the load begins.
 WARM_UP_SECONDS = 3.0
 SAMPLE_SECONDS = 0.1
-# A caller comes back once.
-MOST_ATTEMPTS = 2
-IN_TIME, LATE, REFUSED, LEFT = "in time", "late", "refused", "left"
+# A refused caller retries once.
+MAX_ATTEMPTS = 2
+IN_TIME, LATE, REFUSED, ABANDONED = "in time", "late", "refused", "left"
 
 
-class Ended(typing.NamedTuple):
-    """What became of a request.
+class EndedRequest(typing.NamedTuple):
+    """The result of a request.
 
     Attributes
     ----------
     request : Request
         The request.
     outcome : str
-        In time, late, refused or left: its caller gave up.
+        `IN_TIME`, `LATE`, `REFUSED` or, when its caller gave up, `ABANDONED`.
     attempts : int
-        How often it was tried.
+        Number of attempts.
     first_seconds : float
-        From its arrival to its first event; 0 when there was none.
+        Time from arrival to the first event; 0 when there was none.
     """
 
     request: traffic.Request
@@ -40,18 +40,18 @@
 
 
 class Sample(typing.NamedTuple):
-    """The engines at one moment.
+    """A sample of the load of engines and keepers.
 
     Attributes
     ----------
     at : float
         Seconds from the start of the load.
     busy_fast, busy_slow : int
-        Taken slots of engines faster than the mean, and of the others.
+        Running requests in engines faster than the mean, and in the others.
     queued : int
-        Requests that wait inside engines.
+        Requests in the engines' own queues.
     waiting : int
-        Demands that wait at keepers.
+        Demands in the queues of the keepers, which admit requests to shards.
     """
 
     at: float
@@ -62,40 +62,40 @@
 
 
 class DayResult(typing.NamedTuple):
-    """A played day.
+    """The result of a simulated day.
 
     Attributes
     ----------
     ended : list of Ended
-        All requests.
+        Results of all requests.
     samples : list of Sample
-        The engines over the day.
+        Samples in order of time.
     refused_at : list of float
-        When attempts were refused; seconds from the start of the load.
+        Times of refused attempts, in seconds from the start of the load.
     received : int
-        Messages between instances.
+        Number of messages received by instances.
     """
 
-    ended: list[Ended]
+    ended: list[EndedRequest]
     samples: list[Sample]
     refused_at: list[float]
     received: int
 
 
 class Fleet:
-    """All that a day needs.
+    """The instances, engines and callers of a simulated day.
 
     Parameters
     ----------
     day : Day
-        What to play.
+        The scenario.
     seed : int
-        Of the callers' choices.
+        Seed of the callers' choice of instances.
     """
 
     def __init__(self, day: days.Day, seed: int):
         self.day = day
-        self.ended: list[Ended] = []
+        self.ended: list[EndedRequest] = []
         self.samples: list[Sample] = []
         self.refused_at: list[float] = []
         self._began_at = 0.0
@@ -106,9 +106,9 @@
             name: f"zone-{number % day.zones}" for number, name in enumerate(names)
         }
         self.network = simulated_network.Network(zones, day.crossing_ms / 1000.0)
-        configured = instances.Configured(self._snapshot)
+        configuration = instances.StaticConfiguration(self._snapshot)
         self.instances = [
-            instances.Instance(name, self.network, configured) for name in names
+            instances.Instance(name, self.network, configuration) for name in names
         ]
         self.engines: dict[str, batching.Engine] = {}
         factors = day.engines.time_factors
@@ -117,7 +117,7 @@
             self.engines[instances.engine_name(number)] = engine
 
     async def play(self, requests: list[traffic.Request]) -> None:
-        """Play all requests to their ends."""
+        """Simulate all requests until each has ended."""
         for instance in self.instances:
             instance.start()
         await asyncio.sleep(WARM_UP_SECONDS)
@@ -126,19 +126,21 @@
         callers = []
         for request in requests:
             await asyncio.sleep(max(began_at + request.at - clock.now(), 0.0))
-            callers.append(asyncio.create_task(self._caller(request)))
+            callers.append(asyncio.create_task(self._run_caller(request)))
         await asyncio.gather(*callers)
         sampler.cancel()
 
-    async def _caller(self, request: traffic.Request) -> None:
-        """Ask, and come back once when told to."""
+    async def _run_caller(self, request: traffic.Request) -> None:
+        """Send a request, and retry once if it is refused with a usable Retry-After."""
         kind = self.day.kinds[request.kind]
-        came_at = clock.now()
-        leaves_at = came_at + kind.deadline_ms / 1000.0
-        watch = _Watch(came_at, kind.objective_ms / 1000.0, kind.pause_ms / 1000.0)
-        outcome = LEFT
+        arrived_at = clock.now()
+        gives_up_at = arrived_at + kind.deadline_ms / 1000.0
+        monitor = _LatenessMonitor(
+            arrived_at, kind.objective_ms / 1000.0, kind.pause_ms / 1000.0
+        )
+        outcome = ABANDONED
         number = 0
-        for number in range(1, MOST_ATTEMPTS + 1):
+        for number in range(1, MAX_ATTEMPTS + 1):
             instance = self._chance.choice(self.instances)
             await asyncio.sleep(self.day.caller_ms / 1000.0)
             attempt = instances.call(
@@ -146,37 +148,37 @@
                 request,
                 f"{request.name}.{number}",
                 clock.now(),
-                leaves_at,
+                gives_up_at,
                 self._snapshot,
             )
             try:
-                async with asyncio.timeout_at(leaves_at):
-                    await self._serve(instance, attempt, request, watch)
-                outcome = LATE if watch.is_late else IN_TIME
+                async with asyncio.timeout_at(gives_up_at):
+                    await self._serve_attempt(instance, attempt, request, monitor)
+                outcome = LATE if monitor.is_late else IN_TIME
                 break
             except TimeoutError:
-                outcome = LEFT
+                outcome = ABANDONED
                 break
             except exceptions.Refusal as refusal:
                 outcome = REFUSED
                 self.refused_at.append(clock.now() - self._began_at)
-                back_at = clock.now() + (refusal.retry_after_ms or 0) / 1000.0
-                if back_at >= leaves_at:
+                retry_at = clock.now() + (refusal.retry_after_ms or 0) / 1000.0
+                if retry_at >= gives_up_at:
                     break
-                await asyncio.sleep(back_at - clock.now())
-        first = watch.first_at - came_at if watch.first_at else 0.0
-        self.ended.append(Ended(request, outcome, number, first))
+                await asyncio.sleep(retry_at - clock.now())
+        first = monitor.first_at - arrived_at if monitor.first_at else 0.0
+        self.ended.append(EndedRequest(request, outcome, number, first))
 
-    async def _serve(
+    async def _serve_attempt(
         self,
         instance: instances.Instance,
         attempt: calls.Call,
         request: traffic.Request,
-        watch: "_Watch",
+        monitor: "_LatenessMonitor",
     ) -> None:
         ticket = await instance.admission.obtain(attempt, 1, [], [])
         run = batching.Run(
-            request.prompt_tokens, request.events, _events(ticket, watch)
+            request.prompt_tokens, request.events, _event_recorder(ticket, monitor)
         )
         engine = self.engines[ticket.server.name]
         sent_at = clock.now()
@@ -192,12 +194,12 @@
 
     async def _sample(self) -> None:
         factors = [engine.time_factor for engine in self.engines.values()]
-        middle = sum(factors) / len(factors)
+        mean_factor = sum(factors) / len(factors)
         while True:
             busy: collections.Counter[bool] = collections.Counter()
             queued = 0
             for engine in self.engines.values():
-                busy[engine.time_factor < middle] += engine.busy
+                busy[engine.time_factor < mean_factor] += engine.busy
                 queued += engine.queued
             waiting = 0
             for instance in self.instances:
@@ -208,17 +210,17 @@
             await asyncio.sleep(SAMPLE_SECONDS)
 
 
-class _Watch:
-    """Whether the events of an answer come in time."""
+class _LatenessMonitor:
+    """Tracks whether the events of an answer arrive within their time limits."""
 
-    def __init__(self, came_at: float, objective: float, pause: float):
+    def __init__(self, arrived_at: float, objective: float, pause: float):
         self.first_at = 0.0
         self.is_late = False
-        self._due_at = came_at + objective
+        self._due_at = arrived_at + objective
         self._pause = pause
 
     def event(self) -> None:
-        """Take in an event."""
+        """Record an event that arrives now."""
         now = clock.now()
         if now > self._due_at:
             self.is_late = True
@@ -227,30 +229,32 @@
         self._due_at = now + self._pause
 
 
-def _events(ticket: admission.Ticket, watch: _Watch) -> typing.Callable[[], None]:
+def _event_recorder(
+    ticket: admission.Ticket, monitor: _LatenessMonitor
+) -> typing.Callable[[], None]:
     def event() -> None:
         ticket.tally.add(1)
-        watch.event()
+        monitor.event()
 
     return event
 
 
-def earned(item: Ended) -> float:
-    """Return what a request was worth in the end."""
+def earned_worth(item: EndedRequest) -> float:
+    """Return the worth that a request earned by its outcome."""
     if item.outcome == IN_TIME:
         return item.request.worth
     return item.request.late_worth if item.outcome == LATE else 0.0
 
 
-def worth(items: list[Ended]) -> float:
-    """Return the share of the worth of some requests that was earned."""
-    owed = sum(item.request.worth for item in items)
-    return sum(earned(item) for item in items) / owed if owed else 1.0
+def worth(items: list[EndedRequest]) -> float:
+    """Return the earned share of the total worth of the requests."""
+    offered = sum(item.request.worth for item in items)
+    return sum(earned_worth(item) for item in items) / offered if offered else 1.0
 
 
 async def play(day: days.Day, seed: int) -> DayResult:
-    """Play a day; the same seed gives the same day again."""
-    # The daemon's own choices (Retry-After) draw from the common generator.
+    """Simulate a day; the result depends only on the day and the seed."""
+    # The daemon draws its own random choices (Retry-After) from the global generator.
     random.seed(seed)
     fleet = Fleet(day, seed)
     await fleet.play(traffic.build(day, seed))
--- a/packages/dev/cassiaquay_dev/lab/traffic.py
+++ b/packages/dev/cassiaquay_dev/lab/traffic.py
@@ -1,4 +1,4 @@
-"""Arrivals of a day: seeded, in waves and bursts, with lengths that differ widely."""
+"""Seeded arrivals of a day: periodic load, bursts, log-normal lengths."""
 
 import math
 import random
@@ -6,33 +6,33 @@
 
 from . import days
 
-# Load swings by this share around its mean, once in this many seconds.
-SWING = 0.15
-SWING_SECONDS = 11.0
-# Share of the first team, over that of the next one and so on.
-TEAM_STEP = 0.8
-LEAST_PROMPT = 16.0
+# Amplitude of the sinusoidal load, as a share of its mean, and its period.
+LOAD_SWING = 0.15
+LOAD_SWING_PERIOD_SECONDS = 11.0
+# Request rate of each team as a share of the previous team's.
+TEAM_SHARE_RATIO = 0.8
+MIN_PROMPT_TOKENS = 16.0
 
 
 class Request(typing.NamedTuple):
-    """One request of a caller; an attempt at it is another thing.
+    """One logical request of a caller, which may take several attempts.
 
     Attributes
     ----------
     name : str
-        Unique in a day.
+        Unique name within a day.
     kind : str
         Kind of request.
     team : str
-        Whose it is.
+        Name of the sending team.
     at : float
         Seconds from the start of the load.
     prompt_tokens, events : int
-        Its real lengths.
+        Actual lengths of prompt and answer.
     hinted_events : int
         The caller's estimate of the answer's length.
     worth, late_worth : float
-        What it is worth to its caller.
+        Worth when answered in time, and when late.
     """
 
     name: str
@@ -52,7 +52,7 @@
     for name, kind in day.kinds.items():
         rng = random.Random(f"{seed} {name}")
         at = 0.0
-        most = max([1.0, *(burst.factor for burst in day.bursts)]) * (1.0 + SWING)
+        most = max([1.0, *(burst.factor for burst in day.bursts)]) * (1.0 + LOAD_SWING)
         most *= kind.per_second * day.load
         while True:
             at += rng.expovariate(most)
@@ -60,13 +60,15 @@
                 break
             if rng.random() * most > kind.per_second * rate_factor(day, name, at):
                 continue
-            found.append(_request(day, name, at, len(found), rng))
-    return sorted(found, key=_at)
+            found.append(_draw_request(day, name, at, len(found), rng))
+    return sorted(found, key=_arrival_time)
 
 
 def rate_factor(day: days.Day, kind: str, at: float) -> float:
-    """Return how many times its usual rate a kind has at a moment."""
-    factor = day.load * (1.0 + SWING * math.sin(2.0 * math.pi * at / SWING_SECONDS))
+    """Return the factor on a kind's base rate at a time."""
+    factor = day.load * (
+        1.0 + LOAD_SWING * math.sin(2.0 * math.pi * at / LOAD_SWING_PERIOD_SECONDS)
+    )
     boost = 1.0
     for burst in day.bursts:
         if burst.kind not in ("", kind):
@@ -76,23 +78,27 @@
     return factor * boost
 
 
-def _request(
+def _draw_request(
     day: days.Day, name: str, at: float, number: int, rng: random.Random
 ) -> Request:
     kind = day.kinds[name]
-    prompt = _drawn(rng, kind.prompt_mean, kind.prompt_spread, kind.prompt_most)
-    prompt = max(prompt, LEAST_PROMPT)
-    events = _drawn(rng, kind.events_mean, kind.events_spread, kind.events_most)
+    prompt = _draw_lognormal(
+        rng, kind.prompt_mean, kind.prompt_spread, kind.prompt_most
+    )
+    prompt = max(prompt, MIN_PROMPT_TOKENS)
+    events = _draw_lognormal(
+        rng, kind.events_mean, kind.events_spread, kind.events_most
+    )
     events = max(round(events), 1)
     hinted = events * math.exp(rng.gauss(0.0, day.hint_spread))
     tokens = day.engines.event_tokens
     size = prompt + 10.0 * events * tokens
-    usual = kind.prompt_mean + 10.0 * kind.events_mean * tokens
-    weight = min(0.3 + 0.7 * size / usual, 4.0)
+    mean_size = kind.prompt_mean + 10.0 * kind.events_mean * tokens
+    weight = min(0.3 + 0.7 * size / mean_size, 4.0)
     return Request(
         f"{name}-{number}",
         name,
-        _team(day.teams, rng),
+        _draw_team(day.teams, rng),
         at,
         int(prompt),
         events,
@@ -102,17 +108,19 @@
     )
 
 
-def _drawn(rng: random.Random, mean: float, spread: float, most: float) -> float:
-    """Return a log-normal number with a mean and a relative standard deviation."""
+def _draw_lognormal(
+    rng: random.Random, mean: float, spread: float, most: float
+) -> float:
+    """Draw a log-normal number by mean and relative deviation, capped at ``most``."""
     variance = math.log(1.0 + spread * spread)
-    middle = math.log(mean) - variance / 2.0
-    return min(math.exp(rng.gauss(middle, math.sqrt(variance))), most)
+    log_mean = math.log(mean) - variance / 2.0
+    return min(math.exp(rng.gauss(log_mean, math.sqrt(variance))), most)
 
 
-def _team(count: int, rng: random.Random) -> str:
-    weights = [TEAM_STEP**number for number in range(count)]
+def _draw_team(count: int, rng: random.Random) -> str:
+    weights = [TEAM_SHARE_RATIO**number for number in range(count)]
     return f"team-{rng.choices(range(count), weights)[0]}"
 
 
-def _at(request: Request) -> float:
+def _arrival_time(request: Request) -> float:
     return request.at
--- a/packages/dev/cassiaquay_dev/lab/virtual_time.py
+++ b/packages/dev/cassiaquay_dev/lab/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop in virtual time: minutes of a fleet pass as fast as its code runs.
+"""An asyncio event loop in virtual time, which skips waits for timers.
 
-Nothing in it may wait for the outside: a wait without a timer can never end, and says
-so in place of hanging.
+Simulated tasks must not wait for I/O. When every task waits and no timer is scheduled,
+the loop raises an error instead of blocking.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 Result = typing.TypeVar("Result")
 
 
-class _Jump(selectors.SelectSelector):
-    """Lets time jump to the next timer in place of waiting for it."""
+class _TimeJumpSelector(selectors.SelectSelector):
+    """A selector that advances virtual time to the next timer instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Move the time on; nothing outside is ever ready."""
+        """Advance the time by ``timeout``; no file descriptor is ever ready."""
         if timeout is None:
             raise RuntimeError("every task waits and no timer is set")
         self.now += max(timeout, 0.0)
@@ -33,30 +33,30 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time is that of its timers."""
+    """An event loop whose clock advances only to its next timer."""
 
     def __init__(self) -> None:
-        self._jump = _Jump()
-        super().__init__(self._jump)
+        self._selector = _TimeJumpSelector()
+        super().__init__(self._selector)
 
     def time(self) -> float:
         """Return virtual seconds since the start."""
-        return self._jump.now
+        return self._selector.now
 
 
 def run(main: collections.abc.Coroutine[typing.Any, typing.Any, Result]) -> Result:
-    """Run a coroutine in virtual time, the daemon's clock included."""
+    """Run a coroutine in virtual time; the daemon's clock follows the loop's time."""
     with contextlib.closing(VirtualLoop()) as loop:
-        before = clock.use(loop.time)
+        previous = clock.use(loop.time)
         try:
             return loop.run_until_complete(main)
         finally:
-            clock.use(before)
-            loop.run_until_complete(_cancel_rest())
+            clock.use(previous)
+            loop.run_until_complete(_cancel_remaining_tasks())
 
 
-async def _cancel_rest() -> None:
-    rest = asyncio.all_tasks() - {asyncio.current_task()}
-    for task in rest:
+async def _cancel_remaining_tasks() -> None:
+    remaining = asyncio.all_tasks() - {asyncio.current_task()}
+    for task in remaining:
         task.cancel()
-    await asyncio.gather(*rest, return_exceptions=True)
+    await asyncio.gather(*remaining, return_exceptions=True)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: days are checked, time is virtual, a seed gives the same day again."""
+"""The lab: validation of days, virtual time, reproducibility and ablation."""
 
 import asyncio
 
@@ -19,26 +19,30 @@
 )
 from cassiaquay_schema import exceptions
 
-SMALL = msgspec.structs.replace(days.read("burst"), instances=8, seconds=2.0, load=0.2)
+SMALL_DAY = msgspec.structs.replace(
+    days.read("burst"), instances=8, seconds=2.0, load=0.2
+)
 
 
-def test_hours_pass_at_once_and_timers_keep_their_order() -> None:
+def test_timers_fire_in_order_without_real_waiting() -> None:
     order = []
 
-    async def sleeper(seconds: float) -> None:
+    async def sleep_and_record(seconds: float) -> None:
         await asyncio.sleep(seconds)
         order.append(seconds)
 
     async def work() -> float:
-        began = clock.now()
-        await asyncio.gather(sleeper(7200.0), sleeper(0.5), sleeper(3600.0))
-        return clock.now() - began
+        started_at = clock.now()
+        await asyncio.gather(
+            sleep_and_record(7200.0), sleep_and_record(0.5), sleep_and_record(3600.0)
+        )
+        return clock.now() - started_at
 
     assert virtual_time.run(work()) == pytest.approx(7200.0)
     assert order == [0.5, 3600.0, 7200.0]
 
 
-def test_a_wait_that_nothing_ends_is_said_so() -> None:
+def test_wait_without_timer_raises_and_restores_the_clock() -> None:
     async def work() -> None:
         await asyncio.Event().wait()
 
@@ -48,24 +52,24 @@
     assert clock.use(before) is clock.machine
 
 
-def test_a_seed_gives_the_same_day_again() -> None:
-    first, second = (virtual_time.run(simulation.play(SMALL, 3)) for _ in range(2))
+def test_same_seed_gives_the_same_result() -> None:
+    first, second = (virtual_time.run(simulation.play(SMALL_DAY, 3)) for _ in range(2))
     assert first == second
-    assert first != virtual_time.run(simulation.play(SMALL, 4))
+    assert first != virtual_time.run(simulation.play(SMALL_DAY, 4))
 
 
 def test_every_request_ends_once() -> None:
-    found = virtual_time.run(simulation.play(SMALL, 1))
+    found = virtual_time.run(simulation.play(SMALL_DAY, 1))
     names = [item.request.name for item in found.ended]
-    assert sorted(names) == sorted(item.name for item in traffic.build(SMALL, 1))
+    assert sorted(names) == sorted(item.name for item in traffic.build(SMALL_DAY, 1))
     assert len(names) == len(set(names)) > 50
     assert simulation.worth(found.ended) > 0.95
 
 
-def test_an_engine_gives_every_running_request_a_token_in_each_step() -> None:
-    """One prompt is read in 3 steps of 10 ms, 10 ms each for its reading besides.
+def test_engine_generates_one_token_per_request_and_step() -> None:
+    """Prefill takes 3 steps of 20 ms: 10 ms base time and 10 ms for a chunk.
 
-    Then two events of two tokens each take four steps of 10 ms.
+    Two events of two tokens each then take four steps of 10 ms.
     """
     settings = days.Engines(
         count=1,
@@ -77,19 +81,19 @@
         event_tokens=2,
         time_factors=[1.0],
     )
-    events = []
+    event_times = []
 
     async def work() -> None:
         engine = batching.Engine(settings, 1.0)
-        run = batching.Run(30, 2, lambda: events.append(clock.now()))
+        run = batching.Run(30, 2, lambda: event_times.append(clock.now()))
         engine.submit(run)
         await run.ended
 
     virtual_time.run(work())
-    assert events == pytest.approx([0.08, 0.1])
+    assert event_times == pytest.approx([0.08, 0.1])
 
 
-def test_a_day_with_a_wrong_field_is_refused_by_name(tmp_path, capsys) -> None:
+def test_error_names_the_invalid_field_of_a_day(tmp_path, capsys) -> None:
     path = tmp_path / "day.toml"
     text = (days.FOLDER / "burst.toml").read_text()
     path.write_text(text.replace("instances = 195", 'instances = "many"'))
@@ -102,11 +106,11 @@
 
 
 @pytest.mark.parametrize("path", sorted(days.FOLDER.glob("*.toml")))
-def test_the_days_that_come_with_it_can_be_read(path) -> None:
+def test_included_days_are_valid(path) -> None:
     assert days.read(path.stem).instances > 0
 
 
-def test_a_mechanism_is_off_only_for_as_long_as_asked() -> None:
+def test_mechanism_is_disabled_only_within_the_context() -> None:
     before = reservations.Reservations.above
     with mechanisms.switched_off(["kept-slots", "overrun"]):
         assert reservations.Reservations.above is not before
@@ -116,12 +120,12 @@
 
 
 @pytest.mark.parametrize("name", mechanisms.mechanisms.names())
-def test_a_day_can_be_played_without_each_mechanism(name: str) -> None:
-    task = ablation.Task(SMALL, 1, (name,))
+def test_day_runs_without_each_mechanism(name: str) -> None:
+    task = ablation.Task(SMALL_DAY, 1, (name,))
     assert 0.5 < ablation.play(task) <= 1.0
 
 
-def test_an_effect_is_told_apart_from_nothing_by_its_seeds() -> None:
+def test_effect_is_significant_only_outside_its_margin() -> None:
     clear = ablation.effect("clear", [0.9, 0.8, 0.7], [0.8, 0.69, 0.61])
     assert clear.worth == pytest.approx(0.1)
     assert clear.verdict == "worth its place"
@@ -132,7 +136,7 @@
     assert harmful.verdict == "harmful here"
 
 
-def test_an_unknown_mechanism_is_refused_by_name(capsys) -> None:
+def test_error_for_unknown_mechanism_lists_known_names(capsys) -> None:
     with pytest.raises(SystemExit):
         lab.main("burst", without="nothing")
     assert "kept-slots" in capsys.readouterr().err
