--- a/packages/dev/cassiaquay_dev/lab/__main__.py
+++ b/packages/dev/cassiaquay_dev/lab/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m cassiaquay_dev.lab DAY``: play a day and show what came of it."""
+"""``python -m cassiaquay_dev.lab DAY``: simulate a day and print its results."""
 
 import collections
 import statistics
@@ -9,9 +9,14 @@
 
 from cassiaquay_schema import exceptions
 
-from . import ablation, days, mechanisms, played, virtual_time
+from . import ablation, days, mechanisms, simulation, virtual_time
 
-OUTCOMES = (played.IN_TIME, played.LATE, played.REFUSED, played.LEFT)
+OUTCOMES = (
+    simulation.IN_TIME,
+    simulation.LATE,
+    simulation.REFUSED,
+    simulation.ABANDONED,
+)
 
 
 def main(
@@ -23,48 +28,48 @@
     ablate: bool = False,
     workers: int = 2,
 ) -> None:
-    """Play a day and print its tables.
+    """Simulate a day and print its tables.
 
     Parameters
     ----------
     day : str
-        Name of a day, or path of its file.
+        Name of a day in ``days/``, or path of a day file.
     seeds : int
-        How many seeds to play, one after the other.
+        Number of consecutive seeds to simulate.
     seed : int
-        The first of them.
+        The first seed.
     by_second : bool
-        Whether to print each second as well.
+        Whether to print a table by second as well.
     without : str or tuple of str
-        Mechanisms to switch off, separated by commas.
+        Names of mechanisms to disable, separated by commas.
     ablate : bool
-        Play the day without each mechanism in turn, and print what each is worth.
+        Simulate the day without each mechanism in turn and print each one's effect.
     workers : int
-        Processes that play at a time for that.
+        Number of parallel processes for ``ablate``.
     """
     names = without.split(",") if isinstance(without, str) else list(without)
     try:
-        chosen = days.read(day)
+        selected_day = days.read(day)
         for name in names:
             mechanisms.mechanisms.get(name)
     except (exceptions.SchemaError, LookupError) as error:
         print(error, file=sys.stderr)
         sys.exit(1)
-    numbers = range(seed, seed + seeds)
+    seed_numbers = range(seed, seed + seeds)
     if ablate:
         known = mechanisms.mechanisms.names()
-        found = ablation.ablate(chosen, numbers, known, workers)
+        found = ablation.ablate(selected_day, seed_numbers, known, workers)
         print("\n".join(ablation.table(found)))
         return
-    for number in numbers:
-        _play(chosen, number, names, by_second)
+    for number in seed_numbers:
+        _print_day(selected_day, number, names, by_second)
 
 
-def _play(day: days.Day, seed: int, without: list[str], by_second: bool) -> None:
-    began = time.monotonic()
+def _print_day(day: days.Day, seed: int, without: list[str], by_second: bool) -> None:
+    started_at = time.monotonic()
     with mechanisms.switched_off(without):
-        found = virtual_time.run(played.play(day, seed))
-    seconds = time.monotonic() - began
+        found = virtual_time.run(simulation.play(day, seed))
+    seconds = time.monotonic() - started_at
     print(f"seed {seed}: {len(found.ended)} requests in {seconds:.1f} s")
     print("\n".join(kinds_table(day, found)))
     if by_second:
@@ -72,20 +77,20 @@
     sys.stdout.flush()
 
 
-def kinds_table(day: days.Day, found: played.Played) -> list[str]:
-    """Return the lines of a table by kind of request."""
+def kinds_table(day: days.Day, found: simulation.DayResult) -> list[str]:
+    """Return the lines of a table of outcomes by kind of request."""
     lines = [f"{'kind':10} {'count':>6} {'worth':>6}  in time, late, refused, left"]
     for name in [*day.kinds, ""]:
         items = [item for item in found.ended if name in ("", item.request.kind)]
         counts = collections.Counter(item.outcome for item in items)
         shares = [f"{counts[outcome] / max(len(items), 1):.3f}" for outcome in OUTCOMES]
-        line = f"{name or 'all':10} {len(items):6} {played.worth(items):6.3f}  "
+        line = f"{name or 'all':10} {len(items):6} {simulation.worth(items):6.3f}  "
         lines.append(line + " ".join(shares))
     return lines
 
 
-def seconds_table(found: played.Played) -> list[str]:
-    """Return the lines of a table by second of arrival."""
+def seconds_table(found: simulation.DayResult) -> list[str]:
+    """Return the lines of a table of outcomes and engine load by second of arrival."""
     lines = [
         "second  came worth  in time, late, refused, left | fast slow queued waiting"
     ]
@@ -100,10 +105,10 @@
         counts = collections.Counter(item.outcome for item in items)
         shares = " ".join(f"{counts[outcome]:4}" for outcome in OUTCOMES)
         means = []
-        for column in range(1, len(played.Sample._fields)):
+        for column in range(1, len(simulation.Sample._fields)):
             values = [sample[column] for sample in samples[second]]
             means.append(f"{statistics.mean(values or [0]):6.1f}")
-        line = f"{second:6} {len(items):5} {played.worth(items):.3f}  {shares} | "
+        line = f"{second:6} {len(items):5} {simulation.worth(items):.3f}  {shares} | "
         lines.append(line + " ".join(means))
     return lines
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -25,7 +25,7 @@
         The outcome of the simulation.
     """
 
-    def __init__(self, day: days.Day, found: played.Played):
+    def __init__(self, day: days.Day, found: simulation.DayResult):
         self.day = day
         self.found = found
 
@@ -51,7 +51,7 @@
 def _burst() -> Result:
     """Simulate a burst from second 3 to 6 and the time after it."""
     day = days.read("burst")
-    return Result(day, virtual_time.run(played.play(day, 1)))
+    return Result(day, virtual_time.run(simulation.play(day, 1)))
 
 
 def test_engines_stay_busy_while_requests_are_refused(burst: Result) -> None:
@@ -66,7 +66,7 @@
 def test_higher_ranks_are_refused_less(burst: Result) -> None:
     refused = []
     for kind in (REPORT, QUESTION, TAG):
-        refused.append(burst.share(kind, played.REFUSED, 3.0, 9.0))
+        refused.append(burst.share(kind, simulation.REFUSED, 3.0, 9.0))
     assert refused == sorted(refused)
     assert refused[0] < 0.05 < refused[2]
 
@@ -76,12 +76,12 @@
 
     Reports alone need little more than half of the engines' capacity, also in a burst.
     """
-    assert burst.share(REPORT, played.REFUSED, 0.0, burst.day.seconds) == 0.0
+    assert burst.share(REPORT, simulation.REFUSED, 0.0, burst.day.seconds) == 0.0
 
 
 def test_top_rank_stays_in_time_during_a_burst(burst: Result) -> None:
-    in_time = burst.share(REPORT, played.IN_TIME, 3.0, 9.0)
-    assert in_time > 0.9 * burst.share(REPORT, played.IN_TIME, 1.5, 3.0)
+    in_time = burst.share(REPORT, simulation.IN_TIME, 3.0, 9.0)
+    assert in_time > 0.9 * burst.share(REPORT, simulation.IN_TIME, 1.5, 3.0)
 
 
 def test_no_request_is_refused_while_a_tenth_of_slots_is_free(burst: Result) -> None:
@@ -98,7 +98,7 @@
     refused = 0
     for at in burst.found.refused_at:
         refused += any(
-            abs(at - free) <= played.SAMPLE_SECONDS / 2.0 for free in free_at
+            abs(at - free) <= simulation.SAMPLE_SECONDS / 2.0 for free in free_at
         )
     assert refused <= 0.01 * len(burst.found.refused_at)
 
@@ -110,8 +110,8 @@
     refused callers retry.
     """
     for kind in (REPORT, QUESTION, TAG):
-        assert burst.share(kind, played.REFUSED, 11.0, 14.0) < 0.02
+        assert burst.share(kind, simulation.REFUSED, 11.0, 14.0) < 0.02
 
 
 def test_worth_of_a_burst_stays_above_a_minimum(burst: Result) -> None:
-    assert played.worth(burst.found.ended) > 0.8
+    assert simulation.worth(burst.found.ended) > 0.8
