--- a/packages/daemon/cassiaquay_daemon/gateway/passing.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/passing.py
@@ -18,7 +18,9 @@
     body = await forwarding.read_body(answer)
     if state.started:
         # Part of a stream has been sent; it cannot continue with a non-stream answer.
-        raise exceptions.StreamInterrupted(f"status {answer.status} for the rest of a stream")
+        raise exceptions.StreamInterrupted(
+            f"status {answer.status} for the rest of a stream"
+        )
     pairs = replies.drop_content_length(answer.headers)
     pairs.append((b"content-length", str(len(body)).encode()))
     state.started = True
@@ -61,4 +63,6 @@
     if events.NO_EVENT in (received.first, state.last_event):
         return
     if received.first != state.last_event + 1:
-        raise exceptions.StreamInterrupted(f"event {received.first} after {state.last_event}")
+        raise exceptions.StreamInterrupted(
+            f"event {received.first} after {state.last_event}"
+        )
--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -144,7 +144,9 @@
             except exceptions.OutcomeUnknown as refusal:
                 if request.url.path.endswith(QUERY_SUFFIXES):
                     # An unknown outcome is a valid result of a query, not its failure.
-                    told = entries.RequestStatus(refusal.outcome, refusal.code, "unknown")
+                    told = entries.RequestStatus(
+                        refusal.outcome, refusal.code, "unknown"
+                    )
                     return _outcome_response(told)
                 self._report_refusal(request, refusal)
                 return streams.RefusalResponse(refusal)
--- a/packages/daemon/cassiaquay_daemon/keepers/quotas.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/quotas.py
@@ -287,7 +287,9 @@
         # In a partition each side has its own keeper: each grants only the share of the
         # keeper's part that corresponds to the instances on its side.
         alive_share = len(self._membership.alive()) / self._membership.fleet_size()
-        flow = self._flow(quota).scaled((1.0 - self._own_part()) * min(alive_share, 1.0))
+        flow = self._flow(quota).scaled(
+            (1.0 - self._own_part()) * min(alive_share, 1.0)
+        )
         bucket = _bucket_of(self._granted, query.team, self._granted_from)
         patience = query.patience_ms / 1000.0
         wait = bucket.reserve(query.units, flow, patience)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -286,7 +286,9 @@
     async def send_without_length(
         request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        head = "".join(f"{k}: {v}\r\n" for k, v in standins.seal_headers(request).items())
+        head = "".join(
+            f"{k}: {v}\r\n" for k, v in standins.seal_headers(request).items()
+        )
         writer.write(f"HTTP/1.1 200 X\r\n{head}\r\npart".encode())
         await writer.drain()
         await asyncio.sleep(0.05)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from cassiaquay_dev.lab import days, played, virtual_time
+from cassiaquay_dev.lab import days, simulation, virtual_time
 
 REPORT, QUESTION, TAG = "report", "question", "tag"
 
