--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -144,9 +144,9 @@
         if not self.should_fetch(TextVersion(beat.revision, beat.digest)):
             return
         if clock.now() - self._requested_at >= REQUEST_TIMEOUT_S:
-            self.ask(link)
+            self.send_query(link)
 
-    def ask(self, link: peers.Link) -> None:
+    def send_query(self, link: peers.Link) -> None:
         """Request the configuration of another instance."""
         self._requested_at = clock.now()
         link.send(messages.ConfigurationQuery(*self._newest_version))
--- a/packages/daemon/cassiaquay_daemon/fleet/failure_detector.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/failure_detector.py
@@ -75,7 +75,7 @@
         """Return the links dialled by others on which heartbeats arrive."""
         found = []
         for instance, link in self._links.items():
-            if link.dialled or link.closing:
+            if link.dialled or link.is_closing:
                 continue
             if self._silence(instance) < self._settings.suspect_after:
                 found.append(link)
@@ -118,8 +118,8 @@
 
     def answer_probe(self, link: peers.Link, probe: messages.Probe) -> None:
         """Answer a probe if the instance's heartbeats are received here."""
-        # No answer when this instance is about to probe it as well: instances that keep
-        # confirming each other's old heartbeats would never suspect it.
+        # Stay silent if this instance is about to probe it as well: otherwise instances
+        # could confirm old heartbeats to each other and never suspect it.
         silence = clock.now() - self._received_at.get(probe.instance, NEVER)
         if silence < self._settings.suspect_after - self._probe_seconds:
             link.send(messages.Heard(probe.instance))
--- a/packages/daemon/cassiaquay_daemon/fleet/gossip.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/gossip.py
@@ -76,7 +76,7 @@
         return portion
 
     def compare(self, instance: str, digest: int) -> None:
-        """Compare with the table digest of another instance."""
+        """Note from a peer's table digest whether it already has all facts."""
         is_equal = digest == self._facts.digest
         for link, change in self._sent_change.items():
             if link.instance != instance:
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -340,11 +340,11 @@
             link = self._links.link(instance, address)
             if link is not None:
                 found.append(link)
-        # Instances that send heartbeats here get them back on the same link: one that
-        # no other instance chose as neighbour would otherwise receive none. Links
-        # dialled from here to a former neighbour are left out: each side would take
-        # the replies for a choice and keep replying, and after a fleet start half of
-        # the instances would exchange heartbeats with the other half.
+        # Reply to heartbeats on links that others dialled: an instance that none chose
+        # as neighbour would otherwise receive no heartbeats. Links dialled from here to
+        # former neighbours are left out: each side would reply to the other's replies
+        # indefinitely, and after a fleet start half of the instances would exchange
+        # heartbeats with the other half.
         for link in self._detector.incoming_links():
             if link.instance not in chosen:
                 found.append(link)
--- a/packages/daemon/cassiaquay_daemon/fleet/renewal.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/renewal.py
@@ -161,7 +161,7 @@
         while self._configured.should_fetch(highest):
             link = self._membership.link(holder)
             if link is not None:
-                self._configured.ask(link)
+                self._configured.send_query(link)
             await asyncio.sleep(configuration.REQUEST_TIMEOUT_S / 4)
 
     def _handle_refresh(self, link: peers.Link, question: messages.Refresh) -> None:
--- a/packages/daemon/cassiaquay_daemon/fleet/server_list.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/server_list.py
@@ -75,7 +75,7 @@
             )
         return xxhash.xxh3_64_intdigest(repr(lines).encode())
 
-    def take(
+    def replace_entries(
         self,
         revision: int,
         entries: collections.abc.Iterable[messages.ServerEntry],
@@ -86,17 +86,17 @@
         Missing ones are retained if ``retains`` is true, unless they were leaving.
         """
         change = Change([], [], [])
-        before = self._listed
+        old_entries = self._listed
         self._listed = {}
         for entry in entries:
-            known = before.pop(entry.name, None)
-            if known is None and entry.name not in self._retained:
+            old_entry = old_entries.pop(entry.name, None)
+            if old_entry is None and entry.name not in self._retained:
                 change.added.append(entry.name)
-            if known is not None and known.revision > entry.revision:
-                entry = known
+            if old_entry is not None and old_entry.revision > entry.revision:
+                entry = old_entry
             self._listed[entry.name] = entry
             self._retained.pop(entry.name, None)
-        for name, entry in before.items():
+        for name, entry in old_entries.items():
             if entry.revision > revision:
                 # The entry was written after this list was read.
                 self._listed[name] = entry
@@ -118,8 +118,8 @@
     def pools(self) -> dict[str, list[fleet_schema.Server]]:
         """Return the servers that may get new requests, by service."""
         found: dict[str, list[fleet_schema.Server]] = {}
-        known = {**self._listed, **self._retained}
-        for name, entry in sorted(known.items()):
+        entries = {**self._listed, **self._retained}
+        for name, entry in sorted(entries.items()):
             if entry.leaving:
                 continue
             server = fleet_schema.Server(
--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -227,7 +227,7 @@
         # Right after an outage of the platform a missing entry may only have expired.
         # Dropping such entries at once could leave a working fleet without servers.
         retention_s = self._outages.retained_until - read_at
-        change = self._registered.take(revision, entries, retention_s > 0.0)
+        change = self._registered.replace_entries(revision, entries, retention_s > 0.0)
         for name in change.retained:
             logs.event(
                 "server_retained",
--- a/packages/daemon/cassiaquay_daemon/links/peers.py
+++ b/packages/daemon/cassiaquay_daemon/links/peers.py
@@ -65,7 +65,7 @@
         self._ready: list[messages.Message] = []
 
     @property
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Whether the connection is closed or closing."""
         return self._writer.is_closing()
 
@@ -177,7 +177,7 @@
         self._addresses[instance] = address
         self._requested_at[instance] = clock.now()
         link = self._dialled.get(instance)
-        if link is not None and not link.closing:
+        if link is not None and not link.is_closing:
             return link
         task = self._tasks.get(instance)
         if task is None or task.done():
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -267,14 +267,14 @@
                     chose[name].add(other)
                     chose[other].add(name)
 
-            def asked() -> bool:
+            def has_expected_links() -> bool:
                 for name, one in fleet.lives.items():
                     used = {link.instance for link in one.membership._links_to_use()}
                     if used != chose[name]:
                         return False
                 return True
 
-            await light.until(asked, 10)
+            await light.until(has_expected_links, 10)
 
     asyncio.run(run())
 
--- a/tests/test_reloading.py
+++ b/tests/test_reloading.py
@@ -26,38 +26,38 @@
 """
 
 
-def _watch(path: pathlib.Path) -> tuple[reloading.Reloading, list]:
+def _start(path: pathlib.Path) -> tuple[reloading.Reloading, list]:
     path.write_text(TEXT)
     file = reloading.Reloading(path, texts.read_settings(TEXT))
-    taken: list[settings_schema.Settings] = []
-    file.on_change(taken.append)
+    applied: list[settings_schema.Settings] = []
+    file.on_change(applied.append)
     file.reload_if_changed()
-    return file, taken
+    return file, applied
 
 
 def test_changed_settings_are_applied(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "settings.toml"
-    file, taken = _watch(path)
-    assert not taken
+    file, applied = _start(path)
+    assert not applied
     path.write_text(TEXT.replace("0.2", "0.3"))
     file.reload_if_changed()
-    assert [found.gateway.retry_share for found in taken] == [0.3]
+    assert [found.gateway.retry_share for found in applied] == [0.3]
     file.reload_if_changed()
-    assert len(taken) == 1
+    assert len(applied) == 1
 
 
 def test_a_half_written_file_changes_nothing(tmp_path: pathlib.Path) -> None:
     """The process reads the file while the platform is rewriting it."""
     path = tmp_path / "settings.toml"
-    file, taken = _watch(path)
+    file, applied = _start(path)
     path.write_text(TEXT[:60])
     file.reload_if_changed()
     path.unlink()
     file.reload_if_changed()
-    assert not taken
+    assert not applied
     path.write_text(TEXT.replace("10.0.0.1:1", "10.0.0.2:1"))
     file.reload_if_changed()
-    assert [found.seeds for found in taken] == [["10.0.0.2:1"]]
+    assert [found.seeds for found in applied] == [["10.0.0.2:1"]]
 
 
 EARLY = """
