--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -110,7 +110,7 @@
         self._invalidate_caches()
 
     @property
-    def me(self) -> messages.Member:
+    def own_fact(self) -> messages.Member:
         """The current fact on this instance, as sent to the others."""
         return self.update()
 
@@ -158,7 +158,7 @@
 
     def alive(self) -> list[messages.Member]:
         """Return the members that are not suspected, including this one."""
-        found = [self.me]
+        found = [self.own_fact]
         for name, record in self.facts.records.items():
             if record.suspected_at is None and name != self._settings.instance:
                 found.append(record.member)
@@ -177,7 +177,7 @@
     def find(self, instance: str) -> messages.Member | None:
         """Return a live member by name."""
         if instance == self._settings.instance:
-            return self.me
+            return self.own_fact
         record = self.facts.records.get(instance)
         if record is None or record.suspected_at is not None:
             return None
--- a/packages/daemon/cassiaquay_daemon/operators/views.py
+++ b/packages/daemon/cassiaquay_daemon/operators/views.py
@@ -226,7 +226,7 @@
     found = []
     for shard in parts.kept.shards.values():
         keeper = parts.membership.keeper_of(shard.name)
-        mine = keeper == parts.membership.me.instance
+        mine = keeper == parts.membership.own_fact.instance
         if mine or shard.queue or shard.running:
             found.append(shard)
     return found
