--- a/packages/daemon/cassiaquay_daemon/fleet/renewal.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/renewal.py
@@ -51,14 +51,14 @@
         service: platform.ConfigurationService,
         listing: platform.InstanceList,
     ):
-        self._seconds = settings.membership.refresh_seconds
+        self._timeout_s = settings.membership.refresh_seconds
         self._pauses = pauses
         self._links = links
         self._membership = membership
         self._configured = configured
         self._service = service
         self._listing = listing
-        self._number = 0
+        self._refresh_number = 0
         self._answers: dict[str, messages.Refreshed] = {}
         self._is_refresh_needed = asyncio.Event()
         links.on(messages.Refresh, self._handle_refresh)
@@ -89,13 +89,13 @@
             )
 
     async def _refresh_once(self) -> None:
-        self._number += 1
+        self._refresh_number += 1
         self._answers = {}
         began = clock.now()
         tried = asyncio.Event()
         service = asyncio.create_task(self._query_platform(tried))
         try:
-            async with asyncio.timeout(self._seconds):
+            async with asyncio.timeout(self._timeout_s):
                 await self._membership.read_list_once(self._listing)
                 await self._wait_for_peers(service, began)
                 # A peer may have a newer text than a stale platform: wait for it, so
@@ -141,7 +141,7 @@
                 link = self._links.link(name, address)
                 if link is not None and link.instance not in queried:
                     queried.add(link.instance)
-                    link.send(messages.Refresh(self._number))
+                    link.send(messages.Refresh(self._refresh_number))
                 if self._links.failed_since(name, began):
                     continue
                 if link is None or link.instance not in self._answers:
@@ -174,7 +174,7 @@
         )
 
     def _handle_refreshed(self, link: peers.Link, answer: messages.Refreshed) -> None:
-        if answer.number != self._number:
+        if answer.number != self._refresh_number:
             return
         self._answers[link.instance] = answer
         for member in answer.members:
--- a/packages/daemon/cassiaquay_daemon/reloading.py
+++ b/packages/daemon/cassiaquay_daemon/reloading.py
@@ -16,6 +16,7 @@
 
 # Polling interval of the settings file, for changes without a signal.
 POLL_INTERVAL_S = 2.0
+# Settings whose changes take effect only after a restart.
 RESTART_ONLY = ("instance", "domain", "host", "peer_listen", "admin_port", "platform")
 
 Adopt = collections.abc.Callable[[settings_schema.Settings], None]
