--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -110,7 +110,7 @@
         self._invalidate_caches()
 
     @property
-    def me(self) -> messages.Member:
+    def own_fact(self) -> messages.Member:
         """The current fact on this instance, as sent to the others."""
         return self.update()
 
@@ -158,7 +158,7 @@
 
     def alive(self) -> list[messages.Member]:
         """Return the members that are not suspected, including this one."""
-        found = [self.me]
+        found = [self.own_fact]
         for name, record in self.facts.records.items():
             if record.suspected_at is None and name != self._settings.instance:
                 found.append(record.member)
@@ -177,7 +177,7 @@
     def find(self, instance: str) -> messages.Member | None:
         """Return a live member by name."""
         if instance == self._settings.instance:
-            return self.me
+            return self.own_fact
         record = self.facts.records.get(instance)
         if record is None or record.suspected_at is not None:
             return None
@@ -340,11 +340,11 @@
             link = self._links.link(instance, address)
             if link is not None:
                 found.append(link)
-        # Instances that send heartbeats here get them back on the same link: one that
-        # no other instance chose as neighbour would otherwise receive none. Links
-        # dialled from here to a former neighbour are left out: each side would take
-        # the replies for a choice and keep replying, and after a fleet start half of
-        # the instances would exchange heartbeats with the other half.
+        # Reply to heartbeats on links that others dialled: an instance that none chose
+        # as neighbour would otherwise receive no heartbeats. Links dialled from here to
+        # former neighbours are left out: each side would reply to the other's replies
+        # indefinitely, and after a fleet start half of the instances would exchange
+        # heartbeats with the other half.
         for link in self._detector.incoming_links():
             if link.instance not in chosen:
                 found.append(link)
--- a/packages/daemon/cassiaquay_daemon/operators/views.py
+++ b/packages/daemon/cassiaquay_daemon/operators/views.py
@@ -228,7 +228,7 @@
     found = []
     for shard in parts.kept.shards.values():
         keeper = parts.membership.keeper_of(shard.name)
-        is_kept = keeper == parts.membership.me.instance
+        is_kept = keeper == parts.membership.own_fact.instance
         if is_kept or shard.queue or shard.running:
             found.append(shard)
     return found
