--- a/tests/fault_runs.py
+++ b/tests/fault_runs.py
@@ -1,4 +1,4 @@
-"""Clusters under faults, with a recorder and the checker at the end."""
+"""Runs clusters of real processes under faults and checks their recorded history."""
 
 import asyncio
 import collections.abc
@@ -12,9 +12,9 @@
 from cassiaquay_dev.network import partition
 from cassiaquay_dev.trials import checker, history
 
-BOUND_SECONDS = 60.0
+TIMEOUT_SECONDS = 60.0
 ENGINE = deployments.EngineSpec("tutor-1", "derby", 20_000, 10.0, 4, 40_000)
-# Engines made slow enough that a test can act while streams run.
+# Engines that are slow enough for a test to inject faults while they stream.
 SMALL = deployments.BRINDLEY._replace(
     engines=[ENGINE, ENGINE._replace(name="tutor-2", domain="leicester")],
     plains=deployments.BRINDLEY.plains[:2],
@@ -22,7 +22,7 @@
 
 
 class Run:
-    """A cluster, its recorder and sessions of callers."""
+    """A cluster with its callers' sessions and a recorder of their history."""
 
     def __init__(self, started: cluster.Cluster):
         self.cluster = started
@@ -31,7 +31,7 @@
         self.partition = partition.Partition()
 
     def session(self, **values: typing.Any) -> cassiaquay.Session:
-        """Return a recorded session of the first team."""
+        """Return a session of the first team whose requests are recorded."""
         team = self.cluster.deployment.teams[0]
         settings = cassiaquay.Settings(
             **{
@@ -48,68 +48,68 @@
         return session
 
     async def ask(self, session: cassiaquay.Session, prompt: str, **options):
-        """Ask the model service; return the answer or the error."""
+        """Send a request to the model service; return the answer or the error."""
         service = self.cluster.deployment.model_service
         try:
             answer = await session.ask(service, prompt, **options)
         except cassiaquay.exceptions.CassiaquayError as error:
-            self._told(error)
+            self._record_not_run(error)
             return error
         self.recorder.answered(answer, self.cluster.deployment.teams[0].name)
         return answer
 
     async def book(self, session: cassiaquay.Session, **options):
-        """Make a booking that may run once; return the answer or the error."""
+        """Send a request that is not idempotent; return the answer or the error."""
         service = self.cluster.deployment.plain_service
         try:
             return await session.call(
                 service, "/book", {"slot": 1}, idempotent=False, **options
             )
         except cassiaquay.exceptions.CassiaquayError as error:
-            self._told(error)
+            self._record_not_run(error)
             return error
 
-    async def busiest(self) -> str:
-        """Return the live instance with the most requests under way."""
+    async def find_busiest(self) -> str:
+        """Return the running instance with the most open requests."""
         counts = {}
         for name, process in self.cluster.daemons.items():
             if process.returncode is None:
                 counts[name] = (await self.cluster.status(name))["open"]
         return max(counts, key=lambda name: counts[name])
 
-    async def open_at(self, name: str, count: int) -> None:
-        """Wait until an instance holds so many requests under way."""
-        async with asyncio.timeout(BOUND_SECONDS):
+    async def wait_until_open(self, name: str, count: int) -> None:
+        """Wait until an instance has ``count`` open requests."""
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while (await self.cluster.status(name))["open"] < count:
                 await asyncio.sleep(0.02)
 
-    async def arrivals(self) -> list[history.Arrived]:
-        """Return what the back ends saw so far."""
-        seen = history.History()
-        await history.collect(self.cluster, seen)
-        return seen.of(history.Arrived)
+    async def collect_arrivals(self) -> list[history.Arrived]:
+        """Return the requests that backend servers have received so far."""
+        collected = history.History()
+        await history.collect(self.cluster, collected)
+        return collected.of(history.Arrived)
 
-    async def dispatched(self, count: int) -> None:
-        """Wait until the back ends saw so many requests."""
-        async with asyncio.timeout(BOUND_SECONDS):
-            while len(await self.arrivals()) < count:
+    async def wait_for_arrivals(self, count: int) -> None:
+        """Wait until backend servers have received ``count`` requests."""
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            while len(await self.collect_arrivals()) < count:
                 await asyncio.sleep(0.02)
 
-    async def engines(self, path: str, body: object) -> None:
-        """Call the control of every engine."""
+    async def control_engines(self, path: str, body: object) -> None:
+        """Send a command to the control interface of every engine."""
         for engine in self.cluster.deployment.engines:
             address = self.cluster.addresses[engine.name]
             await self.cluster.control(address, "POST", path, body)
 
     async def check(self) -> list[checker.Breach]:
-        """Return what the checker finds in everything that was written."""
+        """Close all sessions; return the checker's findings in the whole history."""
         for session in self.sessions:
             await session.close()
-        seen = history.History(list(self.recorder.history.events))
-        await history.collect(self.cluster, seen)
-        return checker.check(seen)
+        collected = history.History(list(self.recorder.history.events))
+        await history.collect(self.cluster, collected)
+        return checker.check(collected)
 
-    def _told(self, error: cassiaquay.exceptions.CassiaquayError) -> None:
+    def _record_not_run(self, error: cassiaquay.exceptions.CassiaquayError) -> None:
         if error.ran is False:
             self.recorder.told(error.request_id, "not_run", error.code)
 
@@ -118,30 +118,32 @@
 async def start(
     folder: pathlib.Path, daemons: int = 3, split: bool = False
 ) -> collections.abc.AsyncIterator[Run]:
-    """Yield a started run; check its whole history at the end."""
+    """Start a cluster and yield its run; check the history when the block ends."""
     started = cluster.Cluster(SMALL, daemons, folder, level="DEBUG")
     run = Run(started)
     if split:
         started.use(run.partition)
     try:
-        async with asyncio.timeout(BOUND_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             await started.start()
         yield run
         breaches = await run.check()
     finally:
         for process in started.daemons.values():
-            # A stopped process cannot act on SIGTERM.
+            # A process stopped by SIGSTOP does not handle SIGTERM.
             process.send(signal.SIGCONT)
         await started.stop()
         await run.partition.stop()
     assert breaches == []
 
 
-def bounded(work: collections.abc.Coroutine[typing.Any, typing.Any, None]) -> None:
-    """Run one test within a bound."""
+def run_with_timeout(
+    scenario: collections.abc.Coroutine[typing.Any, typing.Any, None],
+) -> None:
+    """Run the coroutine of one test with a time limit."""
 
     async def limited() -> None:
-        async with asyncio.timeout(2 * BOUND_SECONDS):
-            await work
+        async with asyncio.timeout(2 * TIMEOUT_SECONDS):
+            await scenario
 
     asyncio.run(limited())
--- a/tests/test_faults_leaving.py
+++ b/tests/test_faults_leaving.py
@@ -1,4 +1,4 @@
-"""Planned stops of instances and backend servers under load; real processes."""
+"""Graceful stops of instances and backend servers under load, in real processes."""
 
 import asyncio
 import pathlib
@@ -12,35 +12,35 @@
 def test_a_planned_stop_cuts_nothing_and_callers_move_on(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The callers see whole answers only; none is told "unknown" or "failed".
+    """All requests get whole answers; none ends as unknown or failed.
 
     Requests stream and wait at every instance, some through a relay, when the busiest
-    is told to stop. It hands the waiting ones back with another address, finishes the
-    streams, also one whose caller reads slowly, and exits with status 0.
+    instance is asked to stop. It refuses the waiting requests with another address as
+    a hint, completes the streams, also one whose caller reads slowly, and exits with 0.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with fault_runs.start(tmp_path) as run:
             session = run.session()
-            asked = []
+            requests = []
             for number in range(16):
-                asking = run.ask(session, f"question {number}", max_tokens=80)
-                asked.append(asyncio.create_task(asking))
-            slow = asyncio.create_task(_read_slowly(run, run.session()))
-            await run.dispatched(8)
-            victim = await run.busiest()
+                request = run.ask(session, f"question {number}", max_tokens=80)
+                requests.append(asyncio.create_task(request))
+            slow_reader = asyncio.create_task(_read_slowly(run, run.session()))
+            await run.wait_for_arrivals(8)
+            victim = await run.find_busiest()
             process = run.cluster.daemons[victim]
             stopping = asyncio.create_task(process.stop())
-            later = []
+            later_requests = []
             for number in range(6):
-                asking = run.ask(session, f"late {number}", max_tokens=20)
-                later.append(asyncio.create_task(asking))
-            for one in await asyncio.gather(*asked, *later):
-                assert isinstance(one, cassiaquay.Answer), one
-            assert await slow == 100
+                request = run.ask(session, f"late {number}", max_tokens=20)
+                later_requests.append(asyncio.create_task(request))
+            for result in await asyncio.gather(*requests, *later_requests):
+                assert isinstance(result, cassiaquay.Answer), result
+            assert await slow_reader == 100
             assert await stopping == 0
 
-    fault_runs.bounded(work())
+    fault_runs.run_with_timeout(scenario())
 
 
 async def _read_slowly(run: fault_runs.Run, session: cassiaquay.Session) -> int:
@@ -55,37 +55,37 @@
 def test_a_leaving_backend_server_finishes_its_work_and_gets_no_more(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The callers see whole answers; the leaving engine gets nothing new.
+    """All requests get whole answers, and a leaving engine gets no new ones.
 
-    Requests come all the time when the list begins to show one engine as leaving.
+    The instance list shows one engine as leaving while requests arrive continuously.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with fault_runs.start(tmp_path, 2) as run:
             session = run.session()
             leaving = run.cluster.deployment.engines[0]
-            asked = []
+            requests = []
             for number in range(40):
-                asking = run.ask(session, f"question {number}", max_tokens=30)
-                asked.append(asyncio.create_task(asking))
+                request = run.ask(session, f"question {number}", max_tokens=30)
+                requests.append(asyncio.create_task(request))
                 if number == 10:
                     address = run.cluster.addresses[leaving.name]
                     await run.cluster.list_instance(
                         leaving.name, "backend", leaving.domain, address, "", "leaving"
                     )
-                    await _until_listed(run, leaving.name)
+                    await _wait_until_listed_as_leaving(run, leaving.name)
                     run.recorder.server_leaving(leaving.name)
                 await asyncio.sleep(checker.LEAVING_SECONDS * 2 / 40)
-            for one in await asyncio.gather(*asked):
-                assert isinstance(one, cassiaquay.Answer), one
-            servers = {event.server for event in await run.arrivals()}
+            for result in await asyncio.gather(*requests):
+                assert isinstance(result, cassiaquay.Answer), result
+            servers = {event.server for event in await run.collect_arrivals()}
             assert leaving.name in servers
 
-    fault_runs.bounded(work())
+    fault_runs.run_with_timeout(scenario())
 
 
-async def _until_listed(run: fault_runs.Run, name: str) -> None:
-    async with asyncio.timeout(fault_runs.BOUND_SECONDS):
+async def _wait_until_listed_as_leaving(run: fault_runs.Run, name: str) -> None:
+    async with asyncio.timeout(fault_runs.TIMEOUT_SECONDS):
         while True:
             found = await run.cluster.control(
                 run.cluster.platform, "GET", "/v1/instances"
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path in separate processes: callers, daemons, engines, plain servers."""
+"""End-to-end tests with callers, daemons, engines and plain servers as processes."""
 
 import asyncio
 import pathlib
@@ -12,22 +12,22 @@
     async def run() -> None:
         deployment = deployments.BRINDLEY
         recorder = history.Recorder()
-        started = cluster.Cluster(deployment, 3, tmp_path, level="DEBUG")
+        processes = cluster.Cluster(deployment, 3, tmp_path, level="DEBUG")
         try:
-            await started.start()
+            await processes.start()
             arrivals = workloads.mixed(deployment, 7, 4.0, 10.0)
-            sender = driver.Driver(started.seeds, deployment.domains, recorder.watch)
+            sender = driver.Driver(processes.seeds, deployment.domains, recorder.watch)
             results = await sender.run(arrivals)
-            await history.collect_back_ends(started, recorder.history)
+            await history.collect_back_ends(processes, recorder.history)
         finally:
-            codes = await started.stop()
-        history.collect_daemons(started, recorder.history)
+            exit_codes = await processes.stop()
+        history.collect_daemons(processes, recorder.history)
         demo.record_answers(recorder, results)
         assert [result.outcome for result in results] == ["completed"] * len(arrivals)
         assert len(recorder.history.of(history.Arrived)) == len(arrivals)
         assert len(recorder.history.of(history.Answered)) > 0
         assert not checker.check(recorder.history)
-        assert set(codes.values()) == {0}
+        assert set(exit_codes.values()) == {0}
 
     asyncio.run(run())
 
@@ -35,19 +35,19 @@
 def test_a_plain_service_answers_with_its_own_body(tmp_path: pathlib.Path) -> None:
     async def run() -> None:
         deployment = deployments.BRINDLEY
-        started = cluster.Cluster(deployment, 2, tmp_path)
+        processes = cluster.Cluster(deployment, 2, tmp_path)
         try:
-            await started.start()
+            await processes.start()
             team = deployment.teams[0]
             settings = cassiaquay.Settings(
-                seeds=started.seeds, credential=team.credential
+                seeds=processes.seeds, credential=team.credential
             )
             async with cassiaquay.Session(settings) as session:
                 answer = await session.call(
                     deployment.plain_service, "/book", {"day": 3}, idempotent=False
                 )
         finally:
-            await started.stop()
+            await processes.stop()
         assert answer.json()["echo"] == {"day": 3}
         assert answer.json()["path"] == "/book"
 
