--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Tests listed in KNOWN-RED.txt run, are printed and do not fail the run.
+"""Marks the tests listed in KNOWN-RED.txt as expected failures and prints them.
 
-A line of that file begins with the test's node id, then a tab or two blanks, then
-cause and issue. More than three lines, or a line that names no test, fail the run.
+A line of that file has the test's node id, two spaces, then the cause and the issue.
+More than three listed tests, or a line that names no test, fail the run.
 """
 
 import pathlib
@@ -9,42 +9,44 @@
 import pytest
 
 KNOWN_RED = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_LISTED = 3
 
 
-def known_red() -> dict[str, str]:
-    """Return causes by node id."""
-    found = {}
+def read_known_failures() -> dict[str, str]:
+    """Return the causes of known failures by node id."""
+    causes = {}
     for line in KNOWN_RED.read_text().splitlines():
         if not line.startswith("tests/"):
             continue
         node, _, cause = line.partition("  ")
-        found[node.strip()] = cause.strip()
-    return found
+        causes[node.strip()] = cause.strip()
+    return causes
 
 
 def pytest_report_header() -> list[str]:
-    """Print what is known to fail."""
-    return [f"known red: {node}: {cause}" for node, cause in known_red().items()]
+    """Print the known failures in the header of the run."""
+    return [
+        f"known red: {node}: {cause}" for node, cause in read_known_failures().items()
+    ]
 
 
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Let exactly the listed tests fail."""
-    listed = known_red()
-    if len(listed) > MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt lists more than {MOST} tests")
-    there = {item.nodeid for item in items}
+    """Mark the listed tests as expected failures; refuse a wrong list."""
+    listed = read_known_failures()
+    if len(listed) > MAX_LISTED:
+        raise pytest.UsageError(f"KNOWN-RED.txt lists more than {MAX_LISTED} tests")
+    collected = {item.nodeid for item in items}
     files = {item.nodeid.partition("::")[0] for item in items}
     for node in listed:
-        if node not in there and node.partition("::")[0] in files:
-            if not config.option.keyword and not _names_nodes(config):
+        if node not in collected and node.partition("::")[0] in files:
+            if not config.option.keyword and not _selects_single_tests(config):
                 raise pytest.UsageError(f"KNOWN-RED.txt names no test: {node}")
     for item in items:
         if item.nodeid in listed:
             item.add_marker(pytest.mark.xfail(reason=listed[item.nodeid]))
 
 
-def _names_nodes(config: pytest.Config) -> bool:
+def _selects_single_tests(config: pytest.Config) -> bool:
     return any("::" in argument for argument in config.args)
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""A fleet of light instances for tests, with short periods."""
+"""A fleet of in-process instances with short periods, for tests."""
 
 import asyncio
 import collections.abc
@@ -7,8 +7,8 @@
 from cassiaquay_dev import deployments
 from cassiaquay_dev.sizing import light
 
-SECONDS = 15.0
-QUICK = {
+TIMEOUT_S = 15.0
+SHORT_PERIODS = {
     "period": 0.05,
     "suspect_after": 0.4,
     "forget_after": 0.8,
@@ -20,17 +20,17 @@
 
 
 def text(number: int) -> str:
-    """Return a sound text, another for each number."""
+    """Return a valid fleet text that differs for each number."""
     return f"{TEXT}# change {number}\n"
 
 
 def unsound() -> str:
-    """Return a text in which two tiers have one rank."""
+    """Return an invalid fleet text, in which two tiers have the same rank."""
     return TEXT.replace("rank = 1", "rank = 0")
 
 
 class Fleet:
-    """Light instances with one platform."""
+    """In-process instances that share one simulated platform."""
 
     def __init__(self) -> None:
         self.published = light.Published()
@@ -47,14 +47,16 @@
         published: light.Published | None = None,
         **membership: float,
     ) -> light.Light:
-        """Start an instance."""
-        settings = light.settings_of(name, domain, seeds, keys, **(QUICK | membership))
-        one = light.Light(settings, published or self.published, self.listing)
-        self.lives[name] = one
-        await one.start()
+        """Start an instance and, with ``enlist``, add it to the platform's list."""
+        settings = light.settings_of(
+            name, domain, seeds, keys, **(SHORT_PERIODS | membership)
+        )
+        instance = light.Light(settings, published or self.published, self.listing)
+        self.lives[name] = instance
+        await instance.start()
         if enlist:
-            one.enlist()
-        return one
+            instance.enlist()
+        return instance
 
     async def add_many(self, count: int, **membership: float) -> list[light.Light]:
         """Start several instances in one failure domain."""
@@ -62,30 +64,34 @@
         return [await self.add(name, **membership) for name in names]
 
     async def kill(self, name: str) -> None:
-        """End an instance without a farewell."""
+        """Stop an instance without a graceful shutdown."""
         await self.lives.pop(name).stop()
 
     async def agree(self, names: collections.abc.Iterable[str] | None = None) -> None:
-        """Wait until all see just ``names``, or all of them."""
-        wanted = set(self.lives if names is None else names)
-        lives = self.lives.values()
-        await light.until(lambda: all(one.view == wanted for one in lives), SECONDS)
+        """Wait until all member lists equal ``names``, by default all instances."""
+        expected = set(self.lives if names is None else names)
+        instances = self.lives.values()
+        await light.until(
+            lambda: all(instance.view == expected for instance in instances), TIMEOUT_S
+        )
 
     async def reach(self, revision: int) -> None:
-        """Wait until a revision is in force everywhere."""
-        lives = self.lives.values()
+        """Wait until a configuration revision is in force at all instances."""
+        instances = self.lives.values()
         await light.until(
-            lambda: all(one.configuration.revision == revision for one in lives),
-            SECONDS,
+            lambda: all(
+                instance.configuration.revision == revision for instance in instances
+            ),
+            TIMEOUT_S,
         )
 
 
 @contextlib.asynccontextmanager
 async def fleet() -> collections.abc.AsyncIterator[Fleet]:
-    """Give a fleet without instances, whose platform shows revision 1."""
-    made = Fleet()
-    made.published.publish(1, text(1))
+    """Yield a fleet without instances, whose platform has revision 1; stop it after."""
+    created = Fleet()
+    created.published.publish(1, text(1))
     try:
-        yield made
+        yield created
     finally:
-        await asyncio.gather(*(one.stop() for one in made.lives.values()))
+        await asyncio.gather(*(instance.stop() for instance in created.lives.values()))
