--- a/packages/dev/cassiaquay_dev/cluster.py
+++ b/packages/dev/cassiaquay_dev/cluster.py
@@ -100,7 +100,9 @@
         found = _ready(process.lines()[before:])
         assert found is not None
         if self._partition is not None:
-            found = found._replace(peer=self._partition.proxy(name).join(found.peer))
+            found = found._replace(
+                peer=self._partition.proxy(name).forward_to(found.peer)
+            )
         self.listening[name] = found
         await self.list_instance(name, "entry", domain, found.http, found.peer, "live")
 
--- a/packages/dev/cassiaquay_dev/network/__init__.py
+++ b/packages/dev/cassiaquay_dev/network/__init__.py
@@ -1,1 +1,1 @@
-"""Processes, ports and faulty connections on the loopback interface."""
+"""Child processes, ports and fault-injecting proxies on the loopback interface."""
--- a/packages/dev/cassiaquay_dev/network/listening.py
+++ b/packages/dev/cassiaquay_dev/network/listening.py
@@ -1,10 +1,10 @@
-"""What loopback stand-ins share: an address, and connections that end with it."""
+"""Base class of the TCP servers that stand-ins and proxies run on loopback."""
 
 import asyncio
 
 
 class Listener:
-    """Listens on a free port of the loopback address."""
+    """A TCP server on a free loopback port; closes its connections when it stops."""
 
     def __init__(self) -> None:
         self.address = ""
@@ -12,22 +12,22 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen and set ``address``."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and close every connection."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _connected(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Serve one connection; it is closed when this returns."""
+        """Serve one connection; the caller closes it when this returns."""
         raise NotImplementedError
 
     async def _accept(
@@ -38,9 +38,10 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         try:
-            await self._connected(reader, writer)
+            await self._serve_connection(reader, writer)
         except asyncio.CancelledError:
-            # Only `stop` cancels; a stream server prints a cancelled task's traceback.
+            # Only `stop` cancels. asyncio's stream server would print the traceback
+            # of a cancelled task, so the cancellation ends here.
             return
         finally:
             writer.close()
--- a/packages/dev/cassiaquay_dev/network/partition.py
+++ b/packages/dev/cassiaquay_dev/network/partition.py
@@ -1,8 +1,8 @@
-"""Partitions between instances: proxies before their peer ports that can be cut.
+"""Network partitions between instances, made by proxies before their peer ports.
 
 Each proxy reads the first frame of a connection, which names the dialling instance,
-and passes bytes on while both are on the same side. Callers, back ends and the
-platform are reached as before, which is what a partition between instances is.
+and forwards bytes while both instances are on the same side of the partition. The
+connections to callers, backend servers and the platform are not affected.
 """
 
 import asyncio
@@ -11,70 +11,70 @@
 
 from . import proxies
 
-HELLO_INSTANCE = 2
+HELLO_INSTANCE_INDEX = 2
 
 
 class Proxy(proxies.Proxy):
-    """Stands before the peer port of one instance.
+    """Proxy before the peer port of one instance.
 
     Parameters
     ----------
     name : str
-        The instance.
+        Name of the instance.
     owner : Partition
-        Tells whom it may speak to.
+        Decides which instances may connect.
     """
 
     def __init__(self, name: str, owner: "Partition"):
         super().__init__("")
         self._name = name
-        self._owner = owner
+        self._partition = owner
 
-    def join(self, target: str) -> str:
-        """Pass connections on to ``target``; return the proxy's own address."""
+    def forward_to(self, target: str) -> str:
+        """Forward connections to ``target``; return the proxy's own address."""
         self.target = target
         return self.address
 
-    def cut(self) -> None:
-        """Close what crosses the partition."""
+    def reset_separated(self) -> None:
+        """Reset the connections that cross the partition."""
         for pair in self._pairs:
-            if self._owner.divides(pair.source, self._name):
+            if self._partition.separates(pair.source, self._name):
                 pair.abort()
 
     async def _admit(self, reader: asyncio.StreamReader) -> proxies.Opening | None:
         first = await reader.read(proxies.READ_BYTES)
-        source = _source(first)
-        if self._owner.divides(source, self._name):
+        source = _source_instance(first)
+        if self._partition.separates(source, self._name):
             return None
         return proxies.Opening(source, first)
 
 
 class Partition:
-    """Which instances are on the other side."""
+    """The proxies of all instances, and the set of instances that are cut off."""
 
     def __init__(self) -> None:
         self._proxies: dict[str, Proxy] = {}
-        self._apart: set[str] = set()
+        self._separated: set[str] = set()
 
     def proxy(self, name: str) -> Proxy:
         """Return the proxy of an instance."""
         return self._proxies[name]
 
     async def add(self, name: str) -> None:
-        """Start the proxy of an instance; one that there is stays."""
+        """Start the proxy of an instance, unless it has one."""
         if name not in self._proxies:
             self._proxies[name] = Proxy(name, self)
             await self._proxies[name].start()
 
-    def divides(self, one: str, other: str) -> bool:
-        """Tell whether two instances cannot reach each other."""
-        return (one in self._apart) != (other in self._apart)
+    def separates(self, one: str, other: str) -> bool:
+        """Return whether the partition separates two instances."""
+        return (one in self._separated) != (other in self._separated)
 
     def split(self, apart: set[str]) -> None:
-        """Cut ``apart`` off from the others; an empty set heals the partition."""
-        self._apart = apart
+        """Separate ``apart`` from the other instances; an empty set heals."""
+        self._separated = apart
         for proxy in self._proxies.values():
-            proxy.cut()
+            proxy.reset_separated()
 
     async def stop(self) -> None:
         """Stop all proxies."""
@@ -82,10 +82,10 @@
             await proxy.stop()
 
 
-def _source(first: bytes) -> str:
+def _source_instance(first: bytes) -> str:
     unpacker = msgpack.Unpacker()
     unpacker.feed(first)
     try:
-        return str(next(iter(unpacker))[HELLO_INSTANCE])
+        return str(next(iter(unpacker))[HELLO_INSTANCE_INDEX])
     except (ValueError, TypeError, IndexError, StopIteration):
         return ""
--- a/packages/dev/cassiaquay_dev/network/ports.py
+++ b/packages/dev/cassiaquay_dev/network/ports.py
@@ -1,18 +1,18 @@
-"""Ports for processes that must find them free when they start again."""
+"""Ports for processes that must be able to bind them again after a restart."""
 
 import collections.abc
 import random
 import socket
 
-# Below the ports that the kernel gives to outgoing connections: one of those may be
-# taken while a process is down.
-PORTS = (10_000, 30_000)
+# Below the kernel's ephemeral port range: an outgoing connection could take a port of
+# that range while a process is down.
+PORT_RANGE = (10_000, 30_000)
 
 
 def free_ports() -> collections.abc.Iterator[int]:
-    """Yield ports that nobody listens on, each once."""
-    chance = random.SystemRandom()
-    for port in chance.sample(range(*PORTS), PORTS[1] - PORTS[0]):
+    """Yield ports without a listener in random order, each once."""
+    generator = random.SystemRandom()
+    for port in generator.sample(range(*PORT_RANGE), PORT_RANGE[1] - PORT_RANGE[0]):
         try:
             with socket.create_server(("127.0.0.1", port)):
                 pass
@@ -22,5 +22,5 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on."""
+    """Return a port without a listener."""
     return next(free_ports())
--- a/packages/dev/cassiaquay_dev/network/processes.py
+++ b/packages/dev/cassiaquay_dev/network/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of a test or an experiment: started, read, stopped by pid."""
+"""Child processes of a test or an experiment, with their output and signals."""
 
 import asyncio
 import os
@@ -22,11 +22,11 @@
     Parameters
     ----------
     name : str
-        For messages and the name of the file.
+        Used in messages and as the name of the output file.
     arguments : list of str
-        Arguments of this Python.
+        Arguments of the Python interpreter.
     folder : Path
-        Where the output goes.
+        Directory of the output file.
     """
 
     def __init__(self, name: str, arguments: list[str], folder: pathlib.Path):
@@ -44,15 +44,15 @@
 
     @property
     def returncode(self) -> int | None:
-        """Exit status, None while it runs."""
+        """Exit status; None while the process runs or before it is started."""
         return self._child.returncode if self._child else None
 
     def lines(self) -> list[str]:
-        """Return what it has written so far."""
+        """Return the lines that the process has written so far."""
         return self.path.read_text().splitlines() if self.path.exists() else []
 
     async def start(self) -> None:
-        """Start it."""
+        """Start the process."""
         with self.path.open("ab") as output:
             self._child = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -63,7 +63,13 @@
             )
 
     async def wait_for(self, found: typing.Callable[[list[str]], bool]) -> None:
-        """Wait until its output satisfies ``found``; raise StartFault otherwise."""
+        """Wait until the output satisfies ``found``.
+
+        Raises
+        ------
+        StartError
+            If the process ends, or does not satisfy it within `START_SECONDS`.
+        """
         loop = asyncio.get_running_loop()
         end = loop.time() + START_SECONDS
         while not found(self.lines()):
@@ -73,12 +79,12 @@
             await asyncio.sleep(POLL_SECONDS)
 
     def send(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process, unless it has ended."""
         if self.returncode is None:
             os.kill(self.pid, number)
 
     async def stop(self) -> int:
-        """End it gracefully, by force when that takes too long; return its status."""
+        """Send SIGTERM, then SIGKILL after `STOP_SECONDS`; return the exit status."""
         if self._child is None:
             return 0
         self.send(signal.SIGTERM)
@@ -89,7 +95,7 @@
             return await self._child.wait()
 
     async def kill(self) -> None:
-        """End it at once."""
+        """Send SIGKILL and wait for the process to end."""
         if self._child is None:
             return
         self.send(signal.SIGKILL)
--- a/packages/dev/cassiaquay_dev/network/proxies.py
+++ b/packages/dev/cassiaquay_dev/network/proxies.py
@@ -1,7 +1,7 @@
-"""A loopback proxy that delays, holds, silences and resets connections.
+"""A loopback proxy that delays, holds back, drops and resets connections.
 
-What a cut holds back is delivered when it heals, as TCP would send it again; bytes in
-the middle of a connection are never lost.
+Bytes that a cut holds back are delivered when it heals, as TCP would retransmit them:
+a connection never loses bytes in the middle.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 
 class Direction:
-    """One way through a proxy."""
+    """One direction through a proxy, with a delay and a gate that can be closed."""
 
     def __init__(self) -> None:
         self.delay = 0.0
@@ -21,29 +21,29 @@
         self._open.set()
 
     def cut(self) -> None:
-        """Hold everything back."""
+        """Hold back all bytes until `heal`."""
         self._open.clear()
 
     def heal(self) -> None:
-        """Let it pass again."""
+        """Release the bytes that were held back."""
         self._open.set()
 
-    async def passed(self) -> None:
-        """Wait as long as the bytes need."""
+    async def wait_until_open(self) -> None:
+        """Wait for the delay, and until the direction is not cut."""
         if self.delay:
             await asyncio.sleep(self.delay)
         await self._open.wait()
 
 
 class Pair:
-    """One connection through a proxy.
+    """The two sides of one connection through a proxy.
 
     Parameters
     ----------
     source : str
-        Who opened it, where the proxy knows.
+        Name of the client, if the proxy knows it.
     inner, outer : StreamWriter
-        Its two sides.
+        Writers to the client and to the target.
     """
 
     def __init__(
@@ -60,19 +60,19 @@
 
 
 class Opening(typing.NamedTuple):
-    """What a proxy read of a connection before it passed it on."""
+    """Bytes that a proxy read before it connected to the target, and their sender."""
 
     source: str = ""
     data: bytes = b""
 
 
 class Proxy(listening.Listener):
-    """Stands before one listening address.
+    """A proxy before one listening address.
 
     Parameters
     ----------
     target : str
-        host:port that it passes on to; nothing is passed on while it is empty.
+        host:port of the server; while it is empty, connections are reset.
     """
 
     def __init__(self, target: str):
@@ -89,22 +89,22 @@
             pair.abort()
 
     def silence(self) -> None:
-        """Let nothing more pass on the connections that are open now."""
+        """Drop all further bytes of the connections that are open now."""
         for pair in self._pairs:
             pair.silent = True
 
     def heal(self) -> None:
-        """End every fault but the silence of single connections."""
+        """End every fault, except for connections that are already silent."""
         self.refusing = False
         for direction in (self.inward, self.outward):
             direction.delay = 0.0
             direction.heal()
 
     async def _admit(self, reader: asyncio.StreamReader) -> Opening | None:
-        """Return what was read to let a connection pass; None refuses it."""
+        """Return the bytes read to identify the client; None refuses it."""
         return Opening()
 
-    async def _connected(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         opening = None if self.refusing else await self._admit(reader)
@@ -112,19 +112,21 @@
             writer.transport.abort()
             return
         try:
-            await self.inward.passed()
+            await self.inward.wait_until_open()
             host, _, port = self.target.rpartition(":")
-            back, forth = await asyncio.open_connection(host, int(port))
+            server_reader, server_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             writer.transport.abort()
             return
-        forth.write(opening.data)
-        pair = Pair(opening.source, writer, forth)
+        server_writer.write(opening.data)
+        pair = Pair(opening.source, writer, server_writer)
         self._pairs.add(pair)
         try:
             await asyncio.gather(
-                self._pump(pair, reader, forth, self.inward),
-                self._pump(pair, back, writer, self.outward),
+                self._pump(pair, reader, server_writer, self.inward),
+                self._pump(pair, server_reader, writer, self.outward),
             )
         finally:
             self._pairs.discard(pair)
@@ -139,7 +141,7 @@
     ) -> None:
         try:
             while data := await reader.read(READ_BYTES):
-                await direction.passed()
+                await direction.wait_until_open()
                 if pair.silent:
                     continue
                 if writer.is_closing():
@@ -147,10 +149,10 @@
                 writer.write(data)
                 await writer.drain()
         except OSError:
-            # The other end has reset it: the reset goes on to this one.
+            # One side reset its connection: reset the other side too.
             if not pair.silent:
                 pair.abort()
             return
-        await direction.passed()
+        await direction.wait_until_open()
         if not pair.silent:
             writer.close()
--- a/packages/dev/cassiaquay_dev/standins/raw_servers.py
+++ b/packages/dev/cassiaquay_dev/standins/raw_servers.py
@@ -43,7 +43,9 @@
         """Answer one request."""
         raise NotImplementedError
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: Writer) -> None:
+    async def _serve_connection(
+        self, reader: asyncio.StreamReader, writer: Writer
+    ) -> None:
         try:
             while not writer.is_closing():
                 request = await _read(reader)
