--- a/tests/test_faults_leaving.py
+++ b/tests/test_faults_leaving.py
@@ -1,4 +1,4 @@
-"""Planned stops of instances and backend servers under load; real processes."""
+"""Graceful stops of instances and backend servers under load, in real processes."""
 
 import asyncio
 import pathlib
@@ -12,11 +12,11 @@
 def test_a_planned_stop_cuts_nothing_and_callers_move_on(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The callers see whole answers only; none is told "unknown" or "failed".
+    """All requests get whole answers; none ends as unknown or failed.
 
     Requests stream and wait at every instance, some through a relay, when the busiest
-    is told to stop. It hands the waiting ones back with another address, finishes the
-    streams, also one whose caller reads slowly, and exits with status 0.
+    instance is asked to stop. It refuses the waiting requests with another address as
+    a hint, completes the streams, also one whose caller reads slowly, and exits with 0.
     """
 
     async def scenario() -> None:
@@ -55,9 +55,9 @@
 def test_a_leaving_backend_server_finishes_its_work_and_gets_no_more(
     tmp_path: pathlib.Path,
 ) -> None:
-    """The callers see whole answers; the leaving engine gets nothing new.
+    """All requests get whole answers, and a leaving engine gets no new ones.
 
-    Requests come all the time when the list begins to show one engine as leaving.
+    The instance list shows one engine as leaving while requests arrive continuously.
     """
 
     async def scenario() -> None:
