--- a/packages/caller/cassiaquay/addresses.py
+++ b/packages/caller/cassiaquay/addresses.py
@@ -139,8 +139,8 @@
             self._remember_owners()
             now = loop.time()
             self._suspect_until = {
-                entry: until
-                for entry, until in self._suspect_until.items()
+                address: until
+                for address, until in self._suspect_until.items()
                 if until > now
             }
             return
--- a/packages/caller/cassiaquay/exchanges.py
+++ b/packages/caller/cassiaquay/exchanges.py
@@ -243,10 +243,10 @@
     async def _prepare_retry(self, *, progress: bool, hint: str = "") -> None:
         """Prepare the next attempt after one that ended without an outcome.
 
-        It uses the same id at another address, where there is one. An id of which no
-        attempt was sent is replaced by a new one: no instance could tell its outcome
-        without its owner, which is unreachable, and others would return
-        ``outcome_unknown`` for a request that was never sent.
+        It uses the same id, at another address if there is one. If no attempt under
+        the id was sent, it uses a new id instead: the id's owner is unreachable, and
+        any other instance would return ``outcome_unknown`` for a request that it never
+        received.
         """
         if progress:
             # Reading the rest of an existing answer adds hardly any load, so it takes
