--- a/packages/dev/cassiaquay_dev/gateway_demo.py
+++ b/packages/dev/cassiaquay_dev/gateway_demo.py
@@ -13,11 +13,11 @@
 COLUMNS = "kind      sent  served  refused  gave up   p50 ms"
 
 
-def table(seen: records.Records) -> str:
+def table(recorded: records.Records) -> str:
     """Return what became of each kind of request."""
     lines = [COLUMNS]
     for kind in callers.PATHS:
-        mine = [one for one in seen.attempts.values() if one.kind == kind]
+        mine = [one for one in recorded.attempts.values() if one.kind == kind]
         served = [one for one in mine if one.is_served]
         refused = sum(1 for one in mine if one.status in callers.NOT_RUN)
         gone = sum(1 for one in mine if one.gave_up)
@@ -38,9 +38,9 @@
         await _ask(played)
     finally:
         await played.stop()
-    found = checks.run(played.seen, timed=False)
-    print(table(played.seen))
-    print(f"{len(played.seen.runs)} arrivals at the engines")
+    found = checks.run(played.recorded, timed=False)
+    print(table(played.recorded))
+    print(f"{len(played.recorded.runs)} arrivals at the engines")
     for finding in found:
         print(f"broken: {finding.check}: {finding.text}")
     print(f"{len(found)} promises broken")
--- a/packages/dev/cassiaquay_dev/soak/__init__.py
+++ b/packages/dev/cassiaquay_dev/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomized fault soak: real daemons as processes, faults from outside, checks.
+"""A randomized fault soak: daemons as processes, faults injected from outside, checks.
 
-`python -m cassiaquay_dev.soak.main --seed 1` plays one seed; docs/SOAK.md tells more.
+`python -m cassiaquay_dev.soak.main --seed 1` runs one seed; docs/SOAK.md has details.
 """
--- a/packages/dev/cassiaquay_dev/soak/checks.py
+++ b/packages/dev/cassiaquay_dev/soak/checks.py
@@ -1,8 +1,8 @@
-"""What must hold, told from what callers and engines saw.
+"""Invariants, checked on the records of callers and engines.
 
-Checks in `always` hold whatever happens. Those in `in_touch` have time bounds, which
-bind daemons that were left alone for a while; on a machine that is too busy to keep
-them they say nothing about the code.
+The checks in `safety_checks` hold under every fault. Those in `timed_checks` have time
+bounds, which hold only for daemons that were undisturbed for a while; on a machine that
+is too busy to keep the bounds, their findings do not prove a fault of the code.
 """
 
 import collections
@@ -14,27 +14,28 @@
 from . import callers, engines, records, site
 
 Check = collections.abc.Callable[[records.Records], collections.abc.Iterator[str]]
-always: registry.Registry[Check] = registry.Registry("check")
-in_touch: registry.Registry[Check] = registry.Registry("timed check")
+safety_checks: registry.Registry[Check] = registry.Registry("check")
+timed_checks: registry.Registry[Check] = registry.Registry("timed check")
 
-MOST_ENGINES = 2
-DEADLINE_SLACK = 0.5
+MAX_ENGINES_PER_ATTEMPT = 2
+DEADLINE_SLACK_SECONDS = 0.5
 ROLLBACK_SECONDS = 0.25
 DRAIN_SECONDS = 2.0
-LATE_SECONDS = 0.5
-# A request that crosses the close of its connection has not been taken.
+DISCONNECT_SLACK_SECONDS = 0.5
+# A request whose connection closes this soon was not accepted: the daemon closed the
+# connection while the request was on its way.
 CROSSING_SECONDS = 0.2
-FEW = 3
-# Engines that a request crashes before it must be refused.
-CRASHES = 3
-# After the faults, and this long for recovery, so many must be served.
-RECOVER_SECONDS = 5.0
-LEAST_SERVED = 0.9
+MAX_TOLERATED = 3
+# Number of engines that a request may crash before daemons must refuse it.
+CRASH_LIMIT = 3
+# From this long after the last fault, at least this share of requests must be served.
+RECOVERY_SECONDS = 5.0
+MIN_SERVED_SHARE = 0.9
 
 
-def _runs_by_attempt(seen: records.Records) -> dict[str, list[records.Run]]:
+def _runs_by_attempt(recorded: records.Records) -> dict[str, list[records.Run]]:
     found: dict[str, list[records.Run]] = collections.defaultdict(list)
-    for run in seen.runs:
+    for run in recorded.runs:
         found[run.request.attempt].append(run)
     return found
 
@@ -43,11 +44,11 @@
     return [run for run in runs if run.executed]
 
 
-@always.register("twice")
-def twice(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Find requests that ran twice and must not."""
-    for name, runs in _runs_by_attempt(seen).items():
-        attempt = seen.attempts.get(name)
+@safety_checks.register("twice")
+def find_double_runs(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find requests that ran twice although they must not be repeated."""
+    for name, runs in _runs_by_attempt(recorded).items():
+        attempt = recorded.attempts.get(name)
         if attempt is None or attempt.may_repeat:
             continue
         executed = _executed(runs)
@@ -55,23 +56,23 @@
             yield f"{name} ({attempt.kind}) ran at {[run.engine for run in executed]}"
 
 
-@always.register("refused")
-def refused(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Find requests that ran, then or later, after an answer that they had not."""
-    runs = _runs_by_attempt(seen)
-    for name, attempt in seen.attempts.items():
+@safety_checks.register("refused")
+def find_refused_runs(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find requests that ran although their answer says that they never will."""
+    runs = _runs_by_attempt(recorded)
+    for name, attempt in recorded.attempts.items():
         if attempt.may_repeat or attempt.status not in callers.NOT_RUN:
             continue
         if _executed(runs.get(name, [])):
             yield f"{name} ({attempt.kind}) was answered {attempt.status} and ran"
 
 
-@always.register("unasked")
-def unasked(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Engines get what callers sent, for the team whose key it was."""
-    for run in seen.runs:
+@safety_checks.register("unasked")
+def find_altered_requests(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find requests at engines that no caller sent like this, or for another team."""
+    for run in recorded.runs:
         request = run.request
-        attempt = seen.attempts.get(request.attempt)
+        attempt = recorded.attempts.get(request.attempt)
         if attempt is None:
             yield f"nobody sent {request.attempt!r}"
             continue
@@ -84,12 +85,12 @@
             yield f"the key of {attempt.name} was passed on"
 
 
-@always.register("mixed")
-def mixed(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Find good answers that are not an engine's whole answer to the request."""
-    yield from seen.unasked_bytes
-    runs = _runs_by_attempt(seen)
-    for name, attempt in seen.attempts.items():
+@safety_checks.register("mixed")
+def find_mixed_answers(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find 200 answers that are not an engine's complete answer to the request."""
+    yield from recorded.protocol_errors
+    runs = _runs_by_attempt(recorded)
+    for name, attempt in recorded.attempts.items():
         if attempt.status != 200:
             continue
         seal = attempt.headers.get("cassiaquay-response-seal", "")
@@ -99,45 +100,47 @@
             continue
         if not attempt.complete:
             continue
-        if attempt.answer not in _whole_answers(sealed[0], name):
+        if attempt.answer not in _expected_answers(sealed[0], name):
             yield f"{name} got another body than {seal!r} stands for"
 
 
-def _whole_answers(run: records.Run, name: str) -> list[bytes]:
+def _expected_answers(run: records.Run, name: str) -> list[bytes]:
     if run.service == "plain":
         return [engines.body_of(run.seal)]
-    events = [engines.event_of(name, number) for number in range(engines.EVENTS)]
+    events = [engines.event_of(name, number) for number in range(engines.EVENT_COUNT)]
     return [b"".join(events)]
 
 
-@always.register("order")
-def order(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Find streams, broken ones too, with events missing, twice or out of order."""
-    for name, attempt in seen.attempts.items():
+@safety_checks.register("order")
+def find_event_order_errors(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find streams, also incomplete ones, with missing, repeated or swapped events."""
+    for name, attempt in recorded.attempts.items():
         if attempt.status != 200 or attempt.kind not in ("stream", "string"):
             continue
-        events = [engines.event_of(name, number) for number in range(engines.EVENTS)]
+        events = [
+            engines.event_of(name, number) for number in range(engines.EVENT_COUNT)
+        ]
         if not b"".join(events).startswith(attempt.answer):
             yield f"{name} got events out of order: {attempt.answer[-200:]!r}"
 
 
-@always.register("engines")
-def engines_tried(seen: records.Records) -> collections.abc.Iterator[str]:
-    """No attempt goes to more engines than its route allows."""
-    for name, runs in _runs_by_attempt(seen).items():
+@safety_checks.register("engines")
+def find_excess_engines(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find attempts that went to more engines than their route allows."""
+    for name, runs in _runs_by_attempt(recorded).items():
         tried = {run.engine for run in runs}
-        if len(tried) > MOST_ENGINES:
+        if len(tried) > MAX_ENGINES_PER_ATTEMPT:
             yield f"{name} went to {sorted(tried)}"
 
 
-@always.register("repeats")
-def repeats(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Repeats stay below a share of the requests and a little."""
+@safety_checks.register("repeats")
+def find_excess_repeats(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find services with more repeats than the retry budget allows."""
     for service in ("plain", "chat"):
         first: list[float] = []
         again: list[float] = []
         known: set[str] = set()
-        for run in seen.runs:
+        for run in recorded.runs:
             if run.service != service:
                 continue
             (again if run.request.attempt in known else first).append(run.at)
@@ -151,17 +154,17 @@
                 break
 
 
-@always.register("quota")
-def quota(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Find windows in which the team with little ran more than it may."""
+@safety_checks.register("quota")
+def find_quota_excess(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find a window in which the team `small` got more tokens than its quota allows."""
     spent: list[tuple[float, float]] = []
     counted: set[str] = set()
-    for run in seen.runs:
-        attempt = seen.attempts.get(run.request.attempt)
+    for run in recorded.runs:
+        attempt = recorded.attempts.get(run.request.attempt)
         if attempt is None or attempt.key != "key-c" or not run.executed:
             continue
         if attempt.name in counted:
-            # Limits are for requests: a repeat at another engine is no second one.
+            # The quota counts requests, so a repeat at another engine is free.
             continue
         counted.add(attempt.name)
         counts = run.request.headers.get("cassiaquay-token-counts", "")
@@ -176,20 +179,20 @@
             return
 
 
-@always.register("own ends")
-def own_ends(seen: records.Records) -> collections.abc.Iterator[str]:
-    """No daemon ends by itself."""
-    yield from seen.own_ends
+@safety_checks.register("own ends")
+def find_unexpected_exits(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find daemons that exited although the soak had not stopped them."""
+    yield from recorded.unexpected_exits
 
 
-def _versions(
-    seen: records.Records, attempt: records.Attempt, runs: list[records.Run]
+def _possible_versions(
+    recorded: records.Records, attempt: records.Attempt, runs: list[records.Run]
 ) -> set[int] | None:
-    """Return the versions by which an attempt may have been handled; None for any."""
+    """Return the configuration versions that explain an attempt; None for any."""
     path = "/" + attempt.path.split("/")[1] + "/"
     found = set()
     executed = _executed(runs)
-    for number, version in enumerate(seen.changes):
+    for number, version in enumerate(recorded.changes):
         service = version.services.get(path)
         key = attempt.key in version.keys
         if executed and key and service == executed[-1].service:
@@ -203,48 +206,50 @@
     return None
 
 
-@always.register("denied")
-def denied(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Nothing runs, and nothing is denied, that no configuration ever asked for."""
-    runs = _runs_by_attempt(seen)
-    for name, attempt in seen.attempts.items():
+@safety_checks.register("denied")
+def find_unexplained_answers(
+    recorded: records.Records,
+) -> collections.abc.Iterator[str]:
+    """Find requests that ran or were denied against every configuration version."""
+    runs = _runs_by_attempt(recorded)
+    for name, attempt in recorded.attempts.items():
         if attempt.status in (400, 413, 431):
             yield f"{name} was denied as {attempt.status}"
-        if _versions(seen, attempt, runs.get(name, [])) == set():
+        if _possible_versions(recorded, attempt, runs.get(name, [])) == set():
             yield f"{name} {attempt.path} {attempt.key}: {attempt.status} by no version"
 
 
-@in_touch.register("configuration")
-def configuration(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Find requests handled by a version that should be out of force."""
-    runs = _runs_by_attempt(seen)
-    for name, attempt in seen.attempts.items():
-        found = _versions(seen, attempt, runs.get(name, []))
+@timed_checks.register("configuration")
+def find_outdated_versions(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find requests handled by a configuration version that was already replaced."""
+    runs = _runs_by_attempt(recorded)
+    for name, attempt in recorded.attempts.items():
+        found = _possible_versions(recorded, attempt, runs.get(name, []))
         if not found:
             continue
         due = -1
-        for number, version in enumerate(seen.changes):
+        for number, version in enumerate(recorded.changes):
             if version.at + site.APPLY_SECONDS < attempt.sent_at:
                 due = number
         start = attempt.sent_at - site.CONTACT_SECONDS - site.APPLY_SECONDS
-        if max(found) >= due or not seen.is_calm(
+        if max(found) >= due or not recorded.is_undisturbed(
             attempt.daemon, start, attempt.ended_at
         ):
             continue
         yield f"{name} at {attempt.daemon} was handled by {max(found)}, due {due}"
 
 
-@in_touch.register("regress")
-def regress(seen: records.Records) -> collections.abc.Iterator[str]:
-    """No life of a daemon goes back to an older configuration."""
-    runs = _runs_by_attempt(seen)
+@timed_checks.register("regress")
+def find_version_rollbacks(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find daemons that return to an older configuration without a restart."""
+    runs = _runs_by_attempt(recorded)
     reached: dict[tuple[str, int], list[tuple[float, int]]] = {}
-    attempts = sorted(seen.attempts.values(), key=lambda one: one.sent_at)
+    attempts = sorted(recorded.attempts.values(), key=lambda one: one.sent_at)
     for attempt in attempts:
-        found = _versions(seen, attempt, runs.get(attempt.name, []))
+        found = _possible_versions(recorded, attempt, runs.get(attempt.name, []))
         if not found:
             continue
-        mine = reached.setdefault((attempt.daemon, attempt.life), [])
+        mine = reached.setdefault((attempt.daemon, attempt.daemon_start), [])
         for at, version in mine:
             if at + ROLLBACK_SECONDS < attempt.sent_at and max(found) < version:
                 yield f"{attempt.name} at {attempt.daemon}: back to {max(found)}"
@@ -252,133 +257,140 @@
         mine.append((attempt.ended_at, min(found)))
 
 
-@in_touch.register("draining")
-def draining(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Find work that reached an engine too long after it began to leave."""
-    for run in seen.runs:
-        left_at = seen.leaving.get(run.engine)
-        attempt = seen.attempts.get(run.request.attempt)
+@timed_checks.register("draining")
+def find_late_drain_work(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find requests that reached an engine too long after it began to drain."""
+    for run in recorded.runs:
+        left_at = recorded.leaving_since.get(run.engine)
+        attempt = recorded.attempts.get(run.request.attempt)
         if left_at is None or attempt is None:
             continue
         late = run.at - left_at - DRAIN_SECONDS
         start = left_at - site.CONTACT_SECONDS
-        if late > 0.0 and seen.is_calm(attempt.daemon, start, run.at):
+        if late > 0.0 and recorded.is_undisturbed(attempt.daemon, start, run.at):
             yield f"{attempt.name} reached {run.engine} {late:.2f} s late"
 
 
-@in_touch.register("lost")
-def lost(seen: records.Records) -> collections.abc.Iterator[str]:
-    """No request that was taken is dropped, also by a daemon that stops."""
-    runs = _runs_by_attempt(seen)
+@timed_checks.register("lost")
+def find_dropped_requests(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find accepted requests without a complete answer, also from stopping daemons."""
+    runs = _runs_by_attempt(recorded)
     found = []
-    for name, attempt in seen.attempts.items():
+    for name, attempt in recorded.attempts.items():
         if attempt.complete or attempt.gave_up or not attempt.daemon:
             continue
         start = attempt.sent_at - site.CONTACT_SECONDS
-        if not seen.faults.is_calm(attempt.daemon, start, attempt.ended_at):
+        if not recorded.faults.is_undisturbed(attempt.daemon, start, attempt.ended_at):
             continue
         mine = _executed(runs.get(name, []))
-        if any(run.harmed for run in mine):
+        if any(run.has_engine_fault for run in mine):
             continue
-        if not all(_engine_calm(seen, run, attempt) for run in mine):
+        if not all(_is_engine_undisturbed(recorded, run, attempt) for run in mine):
             continue
         if mine or attempt.ended_at - attempt.sent_at > CROSSING_SECONDS:
             found.append(f"{name} at {attempt.daemon} was dropped, {len(mine)} runs")
-    if len(found) > FEW:
+    if len(found) > MAX_TOLERATED:
         yield from found
 
 
-def _engine_calm(
-    seen: records.Records, run: records.Run, attempt: records.Attempt
+def _is_engine_undisturbed(
+    recorded: records.Records, run: records.Run, attempt: records.Attempt
 ) -> bool:
-    return seen.faults.is_calm(run.engine, run.at - 1.0, attempt.ended_at)
+    return recorded.faults.is_undisturbed(run.engine, run.at - 1.0, attempt.ended_at)
 
 
-@in_touch.register("deadline")
-def deadline(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Engines are not handed more time than the caller has."""
-    for run in seen.runs:
-        attempt = seen.attempts.get(run.request.attempt)
+@timed_checks.register("deadline")
+def find_extended_deadlines(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find requests whose engine was granted more time than the caller has."""
+    for run in recorded.runs:
+        attempt = recorded.attempts.get(run.request.attempt)
         if attempt is None:
             continue
         handed = float(run.request.headers["cassiaquay-deadline-ms"]) / 1000.0
         over = run.at + handed - attempt.deadline
         start = attempt.sent_at - site.CONTACT_SECONDS
-        # What a harmed link held up was handed on in time.
-        if not seen.faults.is_calm(run.engine, start, run.at):
+        # A disturbed link delayed the request after the daemon had sent it.
+        if not recorded.faults.is_undisturbed(run.engine, start, run.at):
             continue
-        if over > DEADLINE_SLACK and seen.is_calm(attempt.daemon, start, run.at):
+        if over > DEADLINE_SLACK_SECONDS and recorded.is_undisturbed(
+            attempt.daemon, start, run.at
+        ):
             yield f"{attempt.name} was handed {over:.2f} s too much"
 
 
-@in_touch.register("gone")
-def gone(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Nothing is sent to an engine for a caller that has left."""
+@timed_checks.register("gone")
+def find_work_after_disconnect(
+    recorded: records.Records,
+) -> collections.abc.Iterator[str]:
+    """Find requests sent to an engine after their caller has disconnected."""
     late = []
-    for run in seen.runs:
-        attempt = seen.attempts.get(run.request.attempt)
+    for run in recorded.runs:
+        attempt = recorded.attempts.get(run.request.attempt)
         if attempt is None or not attempt.gave_up:
             continue
         start = attempt.sent_at - site.CONTACT_SECONDS
-        if run.at > attempt.ended_at + LATE_SECONDS and seen.is_calm(
-            attempt.daemon, start, run.at
+        if (
+            run.at > attempt.ended_at + DISCONNECT_SLACK_SECONDS
+            and recorded.is_undisturbed(attempt.daemon, start, run.at)
         ):
             late.append(f"{attempt.name} reached {run.engine} after its caller left")
-    if len(late) > FEW:
+    if len(late) > MAX_TOLERATED:
         yield from late
 
 
-@in_touch.register("crashing")
-def crashing(seen: records.Records) -> collections.abc.Iterator[str]:
-    """Find requests that are sent on after they have crashed three engines."""
-    for path in sorted(seen.crashing):
-        runs = [run for run in seen.runs if run.request.target == path]
+@timed_checks.register("crashing")
+def find_resent_crashers(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find requests that still reach engines after they have crashed three."""
+    for path in sorted(recorded.crashing_targets):
+        runs = [run for run in recorded.runs if run.request.target == path]
         crashes = _executed(runs)
-        if len(crashes) < CRASHES:
+        if len(crashes) < CRASH_LIMIT:
             continue
-        since = crashes[CRASHES - 1].at + site.CONTACT_SECONDS
+        since = crashes[CRASH_LIMIT - 1].at + site.CONTACT_SECONDS
         late = []
         for run in runs:
-            attempt = seen.attempts.get(run.request.attempt)
+            attempt = recorded.attempts.get(run.request.attempt)
             if attempt is None or run.at <= since:
                 continue
-            if seen.is_calm(attempt.daemon, run.at - site.CONTACT_SECONDS, run.at):
+            if recorded.is_undisturbed(
+                attempt.daemon, run.at - site.CONTACT_SECONDS, run.at
+            ):
                 late.append(run.engine)
-        if len(late) > FEW:
-            yield f"{path} reached {late} after it had crashed {CRASHES} engines"
+        if len(late) > MAX_TOLERATED:
+            yield f"{path} reached {late} after it had crashed {CRASH_LIMIT} engines"
 
 
-@in_touch.register("recovered")
-def recovered(seen: records.Records) -> collections.abc.Iterator[str]:
-    """After the faults have ended, requests are served again."""
-    since = seen.calm_from + RECOVER_SECONDS
+@timed_checks.register("recovered")
+def find_missing_recovery(recorded: records.Records) -> collections.abc.Iterator[str]:
+    """Find a low share of served requests after the faults have ended."""
+    since = recorded.faults_ended_at + RECOVERY_SECONDS
     asked = served = 0
-    for attempt in seen.attempts.values():
+    for attempt in recorded.attempts.values():
         if attempt.sent_at < since or attempt.sent_at == records.FOREVER:
             continue
         if attempt.gave_up or attempt.status in (401, 404) or attempt.key == "key-c":
             continue
-        if attempt.path in seen.crashing:
+        if attempt.path in recorded.crashing_targets:
             continue
         asked += 1
         served += attempt.is_served
-    if asked and served < LEAST_SERVED * asked:
+    if asked and served < MIN_SERVED_SHARE * asked:
         yield f"{served} of {asked} requests were served after the faults"
 
 
 class Finding(typing.NamedTuple):
-    """One thing that must not be."""
+    """One violation that a check has found."""
 
     check: str
     text: str
 
 
-def run(seen: records.Records, timed: bool) -> list[Finding]:
-    """Return what was found."""
+def run(recorded: records.Records, timed: bool) -> list[Finding]:
+    """Run the checks, with `timed` also the timed ones, and return the findings."""
     found = []
-    registries = [always, in_touch] if timed else [always]
+    registries = [safety_checks, timed_checks] if timed else [safety_checks]
     for checks in registries:
         for name in checks.names():
-            for text in checks.get(name)(seen):
+            for text in checks.get(name)(recorded):
                 found.append(Finding(name, text))
     return found
--- a/packages/dev/cassiaquay_dev/soak/engines.py
+++ b/packages/dev/cassiaquay_dev/soak/engines.py
@@ -1,4 +1,4 @@
-"""Engines with slots, a queue and faults; every arrival is recorded."""
+"""Engines with slots, a queue and faults, which record every arriving request."""
 
 import asyncio
 import collections.abc
@@ -8,47 +8,47 @@
 from . import records
 
 SLOTS = 4
-QUEUE = 4
-# Work of a request: short against its bounds, so that an engine that is slow in a
-# fault is the exception and not the rule.
+QUEUE_LENGTH = 4
+# Short against the time bounds of a request, so that only an engine that a fault slows
+# down exceeds them.
 WORK_SECONDS = 0.03
-GAP_SECONDS = 0.02
-EVENTS = 8
+EVENT_GAP_SECONDS = 0.02
+EVENT_COUNT = 8
 SLOW = 8.0
-# What an engine may do wrong to one request.
+# Faults that an engine may inject into one request.
 FAULTS = ("reset", "truncate", "extra", "silent", "error", "mid_event", "anew")
 
 
 class Engine(raw_servers.RawServer):
-    """One start of an engine.
+    """One engine process; a restarted engine is another object with another name.
 
     Parameters
     ----------
     name, service : str
-        Its id, and the service that it belongs to.
-    seen : Records
-        Gets the arrivals.
-    chance : Random
-        Decides about faults.
+        Instance id of the engine, and the service that it belongs to.
+    recorded : Records
+        Receives the runs.
+    rng : Random
+        Source of the random choice of faults and durations.
     on_crash : callable, optional
-        Called with its name when a request crashes it.
+        Called with the engine's name when a request crashes it.
     """
 
     def __init__(
         self,
         name: str,
         service: str,
-        seen: records.Records,
-        chance: random.Random,
+        recorded: records.Records,
+        rng: random.Random,
         on_crash: collections.abc.Callable[[str], None] | None = None,
     ):
         super().__init__()
         self.name = name
         self.service = service
         self.faulty_share = 0.0
-        self.slow = 1.0
-        self._seen = seen
-        self._chance = chance
+        self.slowdown = 1.0
+        self._recorded = recorded
+        self._rng = rng
         self._on_crash = on_crash
         self._waiting = 0
         self._slots = asyncio.Semaphore(SLOTS)
@@ -56,15 +56,15 @@
     async def respond(
         self, request: raw_servers.Request, writer: raw_servers.Writer
     ) -> None:
-        """Answer one request."""
+        """Answer one request; refuse it if it is misdirected or the queue is full."""
         run = records.Run(self.name, self.service, request)
-        meant = request.headers.get("cassiaquay-expect-instance", self.name)
-        if not request.attempt or meant != self.name:
+        expected_instance = request.headers.get("cassiaquay-expect-instance", self.name)
+        if not request.attempt or expected_instance != self.name:
             headers = {"Cassiaquay-Instance-Id": self.name}
             await raw_servers.send(writer, 421, b"", headers)
             return
-        self._seen.runs.append(run)
-        if self._slots.locked() and self._waiting >= QUEUE:
+        self._recorded.runs.append(run)
+        if self._slots.locked() and self._waiting >= QUEUE_LENGTH:
             await raw_servers.send(writer, 503, b"", {"Cassiaquay-Not-Executed": "1"})
             return
         self._waiting += 1
@@ -74,27 +74,27 @@
             self._waiting -= 1
         try:
             run.executed = True
-            await self._work(run, writer)
+            await self._execute(run, writer)
         finally:
             self._slots.release()
 
-    async def _work(self, run: records.Run, writer: raw_servers.Writer) -> None:
-        number = len(self._seen.runs)
+    async def _execute(self, run: records.Run, writer: raw_servers.Writer) -> None:
+        number = len(self._recorded.runs)
         run.seal = f"{run.request.attempt}.{number}"
         run.status = 200
         fault = ""
-        if self._chance.random() < self.faulty_share:
-            fault = self._chance.choice(FAULTS)
-            run.harmed = True
-        await asyncio.sleep(WORK_SECONDS * self.slow * self._chance.uniform(0.5, 2.0))
-        if run.request.target in self._seen.crashing:
-            run.harmed = True
+        if self._rng.random() < self.faulty_share:
+            fault = self._rng.choice(FAULTS)
+            run.has_engine_fault = True
+        await asyncio.sleep(WORK_SECONDS * self.slowdown * self._rng.uniform(0.5, 2.0))
+        if run.request.target in self._recorded.crashing_targets:
+            run.has_engine_fault = True
             if self._on_crash is not None:
                 self._on_crash(self.name)
             return
         if fault == "error":
             run.status = 500
-            await raw_servers.send(writer, 500, b"failed", _seal(run))
+            await raw_servers.send(writer, 500, b"failed", _seal_headers(run))
             return
         if fault == "silent":
             await asyncio.sleep(60.0)
@@ -108,28 +108,30 @@
         if fault == "truncate":
             head = f"HTTP/1.1 200 X\r\nContent-Length: {len(body)}\r\n"
             head += "".join(
-                f"{name}: {value}\r\n" for name, value in _seal(run).items()
+                f"{name}: {value}\r\n" for name, value in _seal_headers(run).items()
             )
             writer.write(f"{head}\r\n".encode() + body[:-3])
             await writer.drain()
             writer.close()
             return
-        await raw_servers.send(writer, 200, body, _seal(run))
+        await raw_servers.send(writer, 200, body, _seal_headers(run))
         if fault == "extra":
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nextra")
 
     async def _stream(
         self, run: records.Run, writer: raw_servers.Writer, fault: str
     ) -> None:
-        head = "".join(f"{name}: {value}\r\n" for name, value in _seal(run).items())
+        head = "".join(
+            f"{name}: {value}\r\n" for name, value in _seal_headers(run).items()
+        )
         head = f"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n{head}\r\n"
         writer.write(head.encode())
         first = int(run.request.headers.get("last-event-id", "-1")) + 1
         if fault == "anew":
             first = 0
-        for number in range(first, EVENTS):
+        for number in range(first, EVENT_COUNT):
             event = event_of(run.request.attempt, number)
-            if fault in ("truncate", "mid_event") and number >= EVENTS // 2:
+            if fault in ("truncate", "mid_event") and number >= EVENT_COUNT // 2:
                 part = event[:7] if fault == "mid_event" else b""
                 if part:
                     writer.write(b"%x\r\n%b" % (len(event), part))
@@ -138,7 +140,7 @@
                 return
             writer.write(b"%x\r\n%b\r\n" % (len(event), event))
             await writer.drain()
-            await asyncio.sleep(GAP_SECONDS * self.slow)
+            await asyncio.sleep(EVENT_GAP_SECONDS * self.slowdown)
         writer.write(b"0\r\n\r\n")
         if fault == "extra":
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nextra")
@@ -146,16 +148,16 @@
 
 
 def body_of(seal: str) -> bytes:
-    """Return the body that an engine gives under a seal."""
+    """Return the body of the answer with a given seal."""
     return f"body under {seal}".encode() * 20
 
 
 def event_of(attempt: str, number: int) -> bytes:
-    """Return one event of the answer to an attempt."""
+    """Return event ``number`` of the streamed answer to an attempt."""
     return b"id: %d\ndata: piece %d of %b\n\n" % (number, number, attempt.encode())
 
 
-def _seal(run: records.Run) -> dict[str, str]:
+def _seal_headers(run: records.Run) -> dict[str, str]:
     return {
         "Cassiaquay-Attempt-Id": run.request.attempt,
         "Cassiaquay-Response-Seal": run.seal,
--- a/packages/dev/cassiaquay_dev/soak/exchange.py
+++ b/packages/dev/cassiaquay_dev/soak/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange of a caller, byte by byte, on a kept or new connection."""
+"""A minimal HTTP/1.1 client for callers, which shows them the raw response bytes."""
 
 import asyncio
 import typing
@@ -18,7 +18,7 @@
 
     @classmethod
     async def open(cls, address: str, seconds: float) -> "Connection":
-        """Connect."""
+        """Open a connection within ``seconds``."""
         host, _, port = address.rpartition(":")
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -26,11 +26,11 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether the daemon has not closed it."""
+        """Whether neither side has closed the connection."""
         return not (self._writer.is_closing() or self._reader.at_eof())
 
-    async def unasked(self) -> bytes:
-        """Return what has come without a request."""
+    async def read_unrequested(self) -> bytes:
+        """Return the bytes that the daemon sent without a request."""
         try:
             async with asyncio.timeout(0.0):
                 return await self._reader.read(1000)
@@ -38,12 +38,12 @@
             return b""
 
     async def send(self, head: str, body: bytes) -> None:
-        """Send a request."""
+        """Send the head and body of a request."""
         self._writer.write(head.encode() + body)
         await self._writer.drain()
 
     async def read(self, attempt: records.Attempt) -> bool:
-        """Read the answer into an attempt; return whether the connection stays."""
+        """Read the answer into an attempt; return whether the connection stays open."""
         head = await self._reader.readuntil(b"\r\n\r\n")
         lines = head.decode("latin-1").split("\r\n")
         for line in lines[1:]:
@@ -51,14 +51,14 @@
             attempt.headers[name.lower()] = value.strip()
         attempt.status = int(lines[0].split(" ")[1])
         if attempt.headers.get("transfer-encoding", "").lower() == "chunked":
-            await self._chunks(attempt)
+            await self._read_chunks(attempt)
         else:
             length = int(attempt.headers["content-length"])
             attempt.answer = await self._reader.readexactly(length)
         attempt.complete = True
         return attempt.headers.get("connection", "").lower() != "close"
 
-    async def _chunks(self, attempt: records.Attempt) -> None:
+    async def _read_chunks(self, attempt: records.Attempt) -> None:
         while True:
             line = await self._reader.readuntil(b"\r\n")
             size = int(line, 16)
@@ -68,19 +68,19 @@
                 return
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self._writer.close()
 
 
 class Resolved(typing.NamedTuple):
-    """Addresses of daemons, and how long they hold."""
+    """Addresses of daemons, valid until the time ``until`` of `records.now`."""
 
     addresses: list[str]
     until: float
 
 
 async def get(address: str, target: str, seconds: float) -> records.Attempt | None:
-    """Ask a daemon something; return None when it gives no whole answer."""
+    """Send a GET to a daemon; return None unless it answers completely in time."""
     found = records.Attempt("", "get", target, "", b"")
     try:
         async with asyncio.timeout(seconds):
--- a/packages/dev/cassiaquay_dev/soak/launch.py
+++ b/packages/dev/cassiaquay_dev/soak/launch.py
@@ -1,7 +1,7 @@
-"""Run a daemon whose time of day jumps when it gets SIGUSR1.
+"""Run a daemon whose wall clock jumps when the process receives SIGUSR1.
 
-The system reads the time of day for few things; on real machines it is stepped by
-seconds, and back. The steady clock is left alone.
+On real machines the wall clock is stepped by seconds, forward and back. The monotonic
+clock is not shifted.
 """
 
 import importlib
@@ -14,23 +14,23 @@
 
 
 class Clock:
-    """The time of day with an offset that the signal moves forth and back."""
+    """The wall clock plus an offset that SIGUSR1 sets and resets."""
 
     def __init__(self) -> None:
         self._offset = 0.0
-        self._true = time.time
+        self._unshifted_time = time.time
 
     def now(self) -> float:
-        """Return the shifted time of day."""
-        return self._true() + self._offset
+        """Return the shifted wall clock time."""
+        return self._unshifted_time() + self._offset
 
     def jump(self, number: int, frame: types.FrameType | None) -> None:
-        """Move the offset."""
+        """Handle the signal: set the offset, or reset it to 0."""
         self._offset = 0.0 if self._offset else JUMP_SECONDS
 
 
 def run(settings: str) -> None:
-    """Shift the clock and serve."""
+    """Replace the wall clock by a shiftable one and run the daemon."""
     clock = Clock()
     setattr(time, "time", clock.now)  # noqa: B010
     signal.signal(signal.SIGUSR1, clock.jump)
--- a/packages/dev/cassiaquay_dev/soak/main.py
+++ b/packages/dev/cassiaquay_dev/soak/main.py
@@ -1,6 +1,6 @@
-"""Play seeds of the soak: ``python -m cassiaquay_dev.soak.main --seed 1 --count 5``.
+"""Run seeds of the soak: ``python -m cassiaquay_dev.soak.main --seed 1 --count 5``.
 
-Prints one line a seed, and what was found; the exit status is 1 when anything was.
+Prints one line for each seed and its findings; exits with 1 if there are any.
 """
 
 import asyncio
@@ -13,24 +13,24 @@
 
 from . import callers, checks, faults, records, site
 
-# Requests go on for so long after the faults, to see the recovery.
-CALM_SECONDS = 9.0
-# Faults that have begun may last as long.
-LAST_SECONDS = 12.0
-SHOWN = 10
-# Seeds that have found something, with its cause; `--kept` plays them again.
+# Callers send requests for this long after the last fault, to check the recovery.
+RECOVERY_SECONDS = 9.0
+# Longest time for faults to end after the last one has started.
+FAULT_TIMEOUT_SECONDS = 12.0
+MAX_SHOWN_FINDINGS = 10
+# Seeds with earlier findings and their causes; `--kept` runs them again.
 KEPT = {
-    1: "a reload asked for while the modules loaded ended the process",
-    3: "the same, and two starts of one daemon by overlapping faults of the soak",
-    11: "sources were edited while it ran; kept because its cause was ours alone",
-    107: "callers declared their time left before they had found an address",
-    121: "the same, and an engine's delayed link counted as time handed on",
-    122: "an engine's delayed link counted as time handed on",
+    1: "a SIGHUP while the daemon imported its modules ended the process",
+    3: "as seed 1, and overlapping faults of the soak started one daemon twice",
+    11: "source files changed during the run; the daemon had no fault",
+    107: "callers computed the remaining time before they resolved an address",
+    121: "as seed 107, and the delay of an engine's link counted as granted time",
+    122: "the delay of an engine's link counted as granted time",
 }
 
 
 class Outcome(typing.NamedTuple):
-    """What one seed gave."""
+    """Findings and counts of one seed."""
 
     findings: list[checks.Finding]
     faults: collections.Counter[str]
@@ -40,58 +40,58 @@
     runs: int
 
 
-async def play(settings: site.SoakSettings, timed: bool = True) -> Outcome:
-    """Play one seed."""
-    played = site.Site(settings)
+async def run_seed(settings: site.SoakSettings, timed: bool = True) -> Outcome:
+    """Run one seed and its checks."""
+    deployment = site.Site(settings)
     try:
-        await played.start()
-        counts = await _play(played)
-        seen = played.seen
+        await deployment.start()
+        counts = await _run_faults(deployment)
+        recorded = deployment.recorded
     finally:
-        await played.stop()
-    attempts = seen.attempts.values()
+        await deployment.stop()
+    attempts = recorded.attempts.values()
     return Outcome(
-        checks.run(seen, timed),
+        checks.run(recorded, timed),
         counts,
         len(attempts),
         sum(1 for one in attempts if one.is_served),
         sum(1 for one in attempts if one.status in callers.NOT_RUN),
-        len(seen.runs),
+        len(recorded.runs),
     )
 
 
-async def _play(played: site.Site) -> collections.Counter[str]:
-    settings = played.settings
-    traffic = played.callers()
+async def _run_faults(deployment: site.Site) -> collections.Counter[str]:
+    settings = deployment.settings
+    traffic = deployment.callers()
     traffic.keys = sorted(site.TEAMS)
     traffic.extra_paths = ["/extra0/", "/extra1/", "/extra2/"]
     ended = asyncio.Event()
     calls = asyncio.create_task(traffic.run(settings.rate, ended))
-    names = _kinds(settings)
-    plan = random.Random(settings.seed)
+    names = _fault_names(settings)
+    schedule_rng = random.Random(settings.seed)
     counts: collections.Counter[str] = collections.Counter()
     running: list[asyncio.Task[None]] = []
     end = records.now() + settings.seconds
     while records.now() < end:
-        await asyncio.sleep(plan.expovariate(1.0 / settings.pause))
-        name = plan.choice(names)
+        await asyncio.sleep(schedule_rng.expovariate(1.0 / settings.pause))
+        name = schedule_rng.choice(names)
         counts[name] += 1
-        chance = random.Random(plan.random())
-        work = faults.faults.get(name)(played, chance)
+        rng = random.Random(schedule_rng.random())
+        work = faults.faults.get(name)(deployment, rng)
         running.append(asyncio.create_task(work))
-    async with asyncio.timeout(LAST_SECONDS):
+    async with asyncio.timeout(FAULT_TIMEOUT_SECONDS):
         await asyncio.gather(*running)
-    played.seen.calm_from = records.now()
-    await asyncio.sleep(CALM_SECONDS)
+    deployment.recorded.faults_ended_at = records.now()
+    await asyncio.sleep(RECOVERY_SECONDS)
     ended.set()
     await calls
     return counts
 
 
-def _kinds(settings: site.SoakSettings) -> list[str]:
+def _fault_names(settings: site.SoakSettings) -> list[str]:
     if settings.only:
         return settings.only.split(",")
-    found = [name for name in faults.faults.names() if name not in faults.BY_REQUEST]
+    found = [name for name in faults.faults.names() if name not in faults.EXPLICIT_ONLY]
     if settings.also:
         found += settings.also.split(",")
     return found
@@ -104,23 +104,25 @@
     kept: bool = False,
     **flags: typing.Any,
 ) -> None:
-    """Play seeds in a row; further flags are the fields of `site.SoakSettings`."""
-    bad = 0
+    """Run seeds in a row; further flags are the fields of `site.SoakSettings`."""
+    failed_seeds = 0
     for number in KEPT if kept else range(seed, seed + count):
         folder = f"{flags.get('folder', 'target/soak')}/{number}"
         settings = site.SoakSettings(**flags | {"seed": number, "folder": folder})
-        outcome = site.run(play(settings, timed))
-        kinds = " ".join(f"{name}={n}" for name, n in sorted(outcome.faults.items()))
+        outcome = site.run(run_seed(settings, timed))
+        fault_counts = " ".join(
+            f"{name}={n}" for name, n in sorted(outcome.faults.items())
+        )
         print(
             f"seed={number} sent={outcome.sent} served={outcome.served} "
             f"refused={outcome.refused} runs={outcome.runs} "
-            f"findings={len(outcome.findings)} faults: {kinds}",
+            f"findings={len(outcome.findings)} faults: {fault_counts}",
             flush=True,
         )
-        for finding in outcome.findings[:SHOWN]:
+        for finding in outcome.findings[:MAX_SHOWN_FINDINGS]:
             print(f"  {finding.check}: {finding.text}", flush=True)
-        bad += bool(outcome.findings)
-    sys.exit(1 if bad else 0)
+        failed_seeds += bool(outcome.findings)
+    sys.exit(1 if failed_seeds else 0)
 
 
 if __name__ == "__main__":
--- a/packages/dev/cassiaquay_dev/soak/records.py
+++ b/packages/dev/cassiaquay_dev/soak/records.py
@@ -1,4 +1,4 @@
-"""What callers and engines saw, for the checks."""
+"""Records of attempts, runs and faults of a soak, which the checks evaluate."""
 
 import time
 import typing
@@ -9,12 +9,12 @@
 
 
 def now() -> float:
-    """Seconds on the steady clock of this machine, which all processes share."""
+    """Return seconds of the monotonic clock, which all processes share."""
     return time.monotonic()
 
 
 class Run:
-    """One arrival of a request at an engine, and what the engine did."""
+    """One arrival of a request at an engine, and what the engine did with it."""
 
     def __init__(self, engine: str, service: str, request: raw_servers.Request):
         self.engine = engine
@@ -23,14 +23,17 @@
         self.at = now()
         # Whether the engine began to work on it.
         self.executed = False
-        # Whether the engine itself did something wrong to it.
-        self.harmed = False
+        # Whether the engine injected a fault into this run.
+        self.has_engine_fault = False
         self.seal = ""
         self.status = 0
 
 
 class Attempt:
-    """One attempt of a caller."""
+    """One attempt of a caller to get a request answered.
+
+    `daemon_start` counts the starts of the daemon up to the one that got the attempt.
+    """
 
     def __init__(self, name: str, kind: str, path: str, key: str, body: bytes):
         self.name = name
@@ -39,7 +42,7 @@
         self.key = key
         self.body = body
         self.daemon = ""
-        self.life = 0
+        self.daemon_start = 0
         self.sent_at = FOREVER
         self.ended_at = FOREVER
         self.gave_up = False
@@ -51,39 +54,39 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.kind in ("safe", "stream")
 
     @property
     def is_served(self) -> bool:
-        """Whether it got a whole good answer."""
+        """Whether the caller received a complete answer with status 200."""
         return self.status == 200 and self.complete
 
 
 class Span(typing.NamedTuple):
-    """A time in which something was disturbed."""
+    """Start and end of one disturbance."""
 
     start: float
     end: float
 
 
 class Disturbances:
-    """When which process or link was disturbed from outside, by name."""
+    """Times in which faults disturbed a process or link, by its name."""
 
     def __init__(self) -> None:
         self._spans: dict[str, list[Span]] = {}
 
     def add(self, name: str, start: float, end: float = FOREVER) -> None:
-        """Note one disturbance; until its end is given, it goes on."""
+        """Record a disturbance, which lasts until `end` is called for it."""
         self._spans.setdefault(name, []).append(Span(start, end))
 
     def end(self, name: str, start: float, end: float) -> None:
-        """Give the end of a disturbance whose end was not known."""
+        """Set the end of a disturbance that began at ``start``."""
         self._spans[name].remove(Span(start, FOREVER))
         self.add(name, start, end)
 
-    def is_calm(self, name: str, start: float, end: float) -> bool:
-        """Tell whether nothing disturbed it in a time."""
+    def is_undisturbed(self, name: str, start: float, end: float) -> bool:
+        """Return whether no disturbance of ``name`` overlaps the time span."""
         for span in self._spans.get(name, []):
             if span.start <= end and span.end >= start:
                 return False
@@ -91,7 +94,7 @@
 
 
 class Change(typing.NamedTuple):
-    """One version of the configuration: when it was written, its keys and routes."""
+    """One version of the configuration: time of writing, API keys, services by path."""
 
     at: float
     keys: frozenset[str]
@@ -99,27 +102,27 @@
 
 
 class Records:
-    """Everything that was seen in one soak."""
+    """Everything that one soak recorded."""
 
     def __init__(self) -> None:
         self.attempts: dict[str, Attempt] = {}
         self.runs: list[Run] = []
-        # Processes and links, without the planned stops and reloads.
+        # Disturbances by faults, without planned stops and reloads.
         self.faults = Disturbances()
-        # Planned stops and reloads.
+        # Disturbances by planned stops and reloads.
         self.planned = Disturbances()
         self.changes: list[Change] = []
-        self.leaving: dict[str, float] = {}
-        # Requests that crash engines, by path; callers send those in `coming`.
-        self.crashing: set[str] = set()
-        self.coming: set[str] = set()
-        self.unasked_bytes: list[str] = []
-        self.own_ends: list[str] = []
-        self.calm_from = FOREVER
-
-    def is_calm(self, daemon: str, start: float, end: float) -> bool:
-        """Tell whether a daemon, its links and the store were left alone."""
+        self.leaving_since: dict[str, float] = {}
+        # Targets of requests that crash engines; callers send the active ones.
+        self.crashing_targets: set[str] = set()
+        self.active_crashing_targets: set[str] = set()
+        self.protocol_errors: list[str] = []
+        self.unexpected_exits: list[str] = []
+        self.faults_ended_at = FOREVER
+
+    def is_undisturbed(self, daemon: str, start: float, end: float) -> bool:
+        """Return whether a daemon, its links and the store were undisturbed."""
         for name in (daemon, "store"):
-            if not self.faults.is_calm(name, start, end):
+            if not self.faults.is_undisturbed(name, start, end):
                 return False
-        return self.planned.is_calm(daemon, start, end)
+        return self.planned.is_undisturbed(daemon, start, end)
--- a/packages/dev/cassiaquay_dev/soak/recovery.py
+++ b/packages/dev/cassiaquay_dev/soak/recovery.py
@@ -1,7 +1,8 @@
 """Measure a cold start: ``python -m cassiaquay_dev.soak.recovery --daemons 8``.
 
-All daemons are killed at once under load and started again after ``down`` seconds.
-Prints the seconds from the kill to the first good answer and to the earlier rate.
+Kills all daemons at once under load and starts them again after ``down`` seconds.
+Prints the seconds from the kill to the first good answer, and to the rate of good
+answers before the kill.
 """
 
 import asyncio
@@ -15,12 +16,12 @@
 BEFORE_SECONDS = 6.0
 AFTER_SECONDS = 14.0
 WINDOW_SECONDS = 0.5
-# The earlier rate counts as reached at this share of it.
+# Share of the rate before the kill at which it counts as reached again.
 REACHED_SHARE = 0.9
 
 
 class Recovered(typing.NamedTuple):
-    """Seconds from the kill; infinite when it did not happen."""
+    """Seconds from the kill, infinite if not reached; rate in answers per second."""
 
     first_answer: float
     earlier_rate: float
@@ -28,34 +29,34 @@
 
 
 async def measure(settings: site.SoakSettings, down: float) -> Recovered:
-    """Kill all daemons under load and see when they serve again."""
-    played = site.Site(settings)
+    """Kill all daemons under load and measure when they serve again."""
+    deployment = site.Site(settings)
     try:
-        await played.start()
-        traffic = played.callers()
+        await deployment.start()
+        traffic = deployment.callers()
         ended = asyncio.Event()
         calls = asyncio.create_task(traffic.run(settings.rate, ended))
         await asyncio.sleep(BEFORE_SECONDS)
         killed_at = records.now()
-        await asyncio.gather(*(one.kill() for one in played.daemons))
+        await asyncio.gather(*(one.kill() for one in deployment.daemons))
         await asyncio.sleep(down)
-        await asyncio.gather(*(one.start() for one in played.daemons))
+        await asyncio.gather(*(one.start() for one in deployment.daemons))
         await asyncio.sleep(AFTER_SECONDS)
         ended.set()
         await calls
-        return _judge(played.seen, killed_at)
+        return _measure_recovery(deployment.recorded, killed_at)
     finally:
-        await played.stop()
+        await deployment.stop()
 
 
-def _judge(seen: records.Records, killed_at: float) -> Recovered:
+def _measure_recovery(recorded: records.Records, killed_at: float) -> Recovered:
     good = []
-    for attempt in seen.attempts.values():
+    for attempt in recorded.attempts.values():
         if attempt.is_served:
             good.append(attempt.ended_at)
     since = killed_at - BEFORE_SECONDS / 2
     before = sum(1 for at in good if since < at <= killed_at) / (killed_at - since)
-    # An answer that had left the daemon before the kill may still be read after it.
+    # A caller may read an answer after the kill that was sent before it.
     after = sorted(at for at in good if at > killed_at + WINDOW_SECONDS / 5)
     first = after[0] - killed_at if after else records.FOREVER
     for at in after:
--- a/packages/dev/cassiaquay_dev/soak/site.py
+++ b/packages/dev/cassiaquay_dev/soak/site.py
@@ -13,7 +13,7 @@
 from ..standins import platform_standins
 from . import callers, engines, exchange, records
 
-READY_SECONDS = 15.0
+READY_TIMEOUT_SECONDS = 15.0
 CONTACT_SECONDS = 3.0
 GRACE_SECONDS = 4.0
 APPLY_SECONDS = 2.0
@@ -21,15 +21,15 @@
 RETRY_EXTRA = 60.0
 LISTENERS = ("front", "ready", "directory", "peer")
 TEAMS = {"key-a": "blue", "key-b": "green", "key-c": "small"}
-# Tokens a second and at once of the team with little.
+# Quota of the team `small`: tokens per second, and burst in tokens.
 SMALL_RATE = 300.0
 SMALL_BURST = 600.0
 PLAIN_TOKENS = 20
 WINDOW_SECONDS = 8.0
 EXCESS = 0.25
 SLACK = 2000.0
-# An engine that crashed with a request is replaced after this time.
-BACK_SECONDS = 1.0
+# Time after which an engine that a request crashed is replaced.
+CRASH_RESTART_SECONDS = 1.0
 
 
 class SoakSettings(typing.NamedTuple):
@@ -38,21 +38,21 @@
     Attributes
     ----------
     seed : int
-        Decides all chances.
+        Seed of all random generators.
     folder : str
-        Where settings and logs go.
+        Directory for settings files and logs.
     daemons, engines : int
-        How many; every second engine is of the plain service.
+        Their numbers; every second engine serves the plain service.
     rate : float
-        Requests a second.
+        Requests per second.
     seconds : float
-        How long faults come.
+        Time in which faults start.
     pause : float
-        Mean seconds between the starts of faults; they overlap.
+        Mean seconds between the starts of two faults; faults overlap.
     only : str
-        Kinds of faults, comma-separated; empty for the usual ones.
+        Names of the faults to run, comma-separated; empty for the usual ones.
     also : str
-        Kinds of faults beside the usual ones, comma-separated.
+        Names of faults to run beside the usual ones, comma-separated.
     """
 
     seed: int = 1
@@ -77,8 +77,8 @@
         free: collections.abc.Iterator[int],
     ):
         self.name = name
-        self.lives = 0
-        self.wanted = False
+        self.start_count = 0
+        self.expected_running = False
         self.addresses = {use: f"127.0.0.1:{next(free)}" for use in LISTENERS}
         self.front = proxies.Proxy(self.addresses["front"])
         self.peer = proxies.Proxy(self.addresses["peer"])
@@ -92,75 +92,79 @@
 
     @property
     def proxies(self) -> list[proxies.Proxy]:
-        """Its proxies."""
+        """The proxies before its front and peer port, and to the store."""
         return [self.front, self.peer, self.store]
 
     @property
     def is_running(self) -> bool:
-        """Whether its process is there."""
-        return self.lives > 0 and self._process.returncode is None
+        """Whether the process was started and has not ended."""
+        return self.start_count > 0 and self._process.returncode is None
 
     async def start(self) -> None:
-        """Start the process, unless it runs."""
+        """Start the process, unless it is running."""
         async with self._lock:
             if self.is_running:
                 return
             await self._process.start()
-            self.lives += 1
-            self.wanted = True
+            self.start_count += 1
+            self.expected_running = True
 
     def send(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         self._process.send(number)
 
-    def tell(self, number: signal.Signals) -> None:
-        """Send it a signal that it knows, unless its interpreter has yet to start."""
+    def send_if_handled(self, number: signal.Signals) -> None:
+        """Send a signal if the process handles it.
+
+        A process whose interpreter is still starting has no handler yet, and the
+        signal would end it.
+        """
         if self.is_running and _handles(self._process.pid, number):
             self._process.send(number)
 
     async def kill(self) -> None:
-        """End it at once."""
+        """Kill the process."""
         async with self._lock:
-            self.wanted = False
+            self.expected_running = False
             await self._process.kill()
 
     async def stop(self) -> None:
-        """Ask it to end, end it after its grace."""
-        life = self.lives
-        self.wanted = False
+        """Send SIGTERM; kill the process after `GRACE_SECONDS`."""
+        start_count = self.start_count
+        self.expected_running = False
         self._process.send(signal.SIGTERM)
         end = records.now() + GRACE_SECONDS
         while self.is_running and records.now() < end:
             await asyncio.sleep(0.05)
-            if self.lives != life:
-                # Another fault has killed and started it meanwhile.
+            if self.start_count != start_count:
+                # Another fault has killed and restarted the process meanwhile.
                 return
         await self.kill()
 
     async def is_ready(self) -> bool:
-        """Ask whether it is ready."""
+        """Return whether the daemon's readiness endpoint answers 200."""
         found = await exchange.get(self.addresses["ready"], "/cassiaquay/ready", 1.0)
         return found is not None and found.status == 200
 
 
 class Site:
-    """Everything that a soak runs."""
+    """The store, engines, daemons and proxies of a soak, and its records."""
 
     def __init__(self, settings: SoakSettings):
         self.settings = settings
-        # What callers and engines do; the faults have chances of their own.
-        self.chance = random.Random(settings.seed)
-        self.seen = records.Records()
+        # For callers and engines; each fault has its own generator.
+        self.rng = random.Random(settings.seed)
+        self.recorded = records.Records()
         self.store = platform_standins.Store()
         self.daemons: list[Daemon] = []
         self.engines: dict[str, engines.Engine] = {}
-        self.fronts: dict[str, proxies.Proxy] = {}
+        self.engine_proxies: dict[str, proxies.Proxy] = {}
         self.keys = {"key-a", "key-c"}
         self.services = {path: _service(kind) for kind, path in callers.PATHS.items()}
-        self._count = 0
+        self._engine_count = 0
         self._folder = pathlib.Path(settings.folder)
-        self._watch: asyncio.Task[None] | None = None
-        self._crashes: set[asyncio.Task[None]] = set()
+        self._watch_task: asyncio.Task[None] | None = None
+        self._crash_tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
         """Start everything and wait until every daemon is ready."""
@@ -174,41 +178,41 @@
         free = ports.free_ports()
         for number in range(self.settings.daemons):
             name = f"cq-{number + 1}"
-            made = Daemon(name, self._folder, self.store.address, free)
-            self.daemons.append(made)
-            for proxy in made.proxies:
+            daemon = Daemon(name, self._folder, self.store.address, free)
+            self.daemons.append(daemon)
+            for proxy in daemon.proxies:
                 await proxy.start()
         for one in self.daemons:
-            one.file.write_text(self._text(one, first=True))
+            one.file.write_text(self._settings_text(one, first=True))
             await one.start()
-        async with asyncio.timeout(READY_SECONDS):
+        async with asyncio.timeout(READY_TIMEOUT_SECONDS):
             for one in self.daemons:
                 while not await one.is_ready():
                     if not one.is_running:
                         raise processes.StartError(f"{one.name} has ended")
                     await asyncio.sleep(0.05)
         for one in self.daemons:
-            one.file.write_text(self._text(one, first=False))
-        self._watch = asyncio.create_task(self._watch_ends())
+            one.file.write_text(self._settings_text(one, first=False))
+        self._watch_task = asyncio.create_task(self._watch_unexpected_exits())
 
     async def stop(self) -> None:
         """Stop everything."""
-        if self._watch is not None:
-            self._watch.cancel()
-        for task in self._crashes:
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+        for task in self._crash_tasks:
             task.cancel()
         await asyncio.gather(*(one.stop() for one in self.daemons))
         for one in self.daemons:
             for proxy in one.proxies:
                 await proxy.stop()
-        for proxy in self.fronts.values():
+        for proxy in self.engine_proxies.values():
             await proxy.stop()
         for engine in self.engines.values():
             await engine.stop()
         await self.store.stop()
 
     def _fronts(self) -> list[callers.Front]:
-        """Return the daemons as callers know them."""
+        """Return the addresses of the daemons for callers."""
         found = []
         for one in self.daemons:
             uses = one.addresses
@@ -220,15 +224,17 @@
         return found
 
     def callers(self) -> callers.Callers:
-        """Return callers of the daemons."""
-        return callers.Callers(self._fronts(), self._lives_of, self.seen, self.chance)
+        """Return a load generator for the daemons."""
+        return callers.Callers(
+            self._fronts(), self._start_count_of, self.recorded, self.rng
+        )
 
-    def _lives_of(self, name: str) -> int:
-        """Return how often a daemon has been started."""
-        return next(one.lives for one in self.daemons if one.name == name)
+    def _start_count_of(self, name: str) -> int:
+        """Return how often the named daemon has been started."""
+        return next(one.start_count for one in self.daemons if one.name == name)
 
     def publish(self) -> None:
-        """Write the configuration that is wanted now."""
+        """Write a new configuration version from `keys` and `services`."""
         routes = []
         for route in platform_standins.ROUTES:
             service = self.services.get(str(route["path-prefix"]))
@@ -245,78 +251,82 @@
                 team |= {"unit": "tokens", "plain-tokens": PLAIN_TOKENS}
             teams.append(team)
         document = platform_standins.configuration(
-            len(self.seen.changes) + 1, routes=routes, tenants=teams
+            len(self.recorded.changes) + 1, routes=routes, tenants=teams
         )
         self.store.put("op/config", document)
-        self.seen.changes.append(
+        self.recorded.changes.append(
             records.Change(records.now(), frozenset(self.keys), dict(self.services))
         )
 
     async def add_engine(self, service: str) -> str:
-        """Start an engine with a proxy before it and list it; return its id."""
-        self._count += 1
-        name = f"i-{self._count}"
-        engine = engines.Engine(name, service, self.seen, self.chance, self._crashed)
+        """Start an engine and its proxy and write its entry; return its id."""
+        self._engine_count += 1
+        name = f"i-{self._engine_count}"
+        engine = engines.Engine(
+            name, service, self.recorded, self.rng, self._start_crash
+        )
         await engine.start()
         proxy = proxies.Proxy(engine.address)
         await proxy.start()
         self.engines[name] = engine
-        self.fronts[name] = proxy
-        self.enlist(name, "ready")
+        self.engine_proxies[name] = proxy
+        self.write_entry(name, "ready")
         return name
 
-    def enlist(self, name: str, state: str) -> None:
-        """Write an engine's entry."""
+    def write_entry(self, name: str, state: str) -> None:
+        """Write an engine's entry to the store."""
         entry = {
             "service": self.engines[name].service,
-            "addr": self.fronts[name].address,
+            "addr": self.engine_proxies[name].address,
             "zone": "a",
             "slots": engines.SLOTS,
             "state": state,
-            "born": self._count,
+            "born": self._engine_count,
         }
         self.store.put(f"servers/{name}", entry)
 
     async def remove_engine(self, name: str) -> None:
-        """Stop an engine."""
-        await self.fronts.pop(name).stop()
+        """Stop an engine and its proxy."""
+        await self.engine_proxies.pop(name).stop()
         await self.engines.pop(name).stop()
 
     async def crash_engine(self, name: str, down: float) -> None:
-        """Let an engine crash; a new one comes after some seconds."""
+        """Crash an engine; start its replacement after ``down`` seconds."""
         service = self.engines[name].service
-        self.seen.leaving[name] = records.FOREVER
-        self.fronts[name].reset()
+        self.recorded.leaving_since[name] = records.FOREVER
+        self.engine_proxies[name].reset()
         await self.remove_engine(name)
         await asyncio.sleep(down)
         await self.add_engine(service)
 
-    def _crashed(self, name: str) -> None:
-        """Let an engine crash under a request."""
+    def _start_crash(self, name: str) -> None:
+        """Start a task that crashes and replaces an engine; called by the engine."""
         task = asyncio.create_task(self._crash_by_request(name))
-        self._crashes.add(task)
-        task.add_done_callback(self._crashes.discard)
+        self._crash_tasks.add(task)
+        task.add_done_callback(self._crash_tasks.discard)
 
     async def _crash_by_request(self, name: str) -> None:
-        if name not in self.fronts:
-            # Another request has crashed it a moment before.
+        if name not in self.engine_proxies:
+            # Another request has already crashed it.
             return
         start = records.now()
-        self.seen.faults.add(name, start)
-        await self.crash_engine(name, BACK_SECONDS)
+        self.recorded.faults.add(name, start)
+        await self.crash_engine(name, CRASH_RESTART_SECONDS)
         self.store.items.pop(f"servers/{name}", None)
         self.store.revision += 1
-        self.seen.faults.end(name, start, records.now())
+        self.recorded.faults.end(name, start, records.now())
 
-    async def _watch_ends(self) -> None:
+    async def _watch_unexpected_exits(self) -> None:
         while True:
             await asyncio.sleep(0.1)
             for one in self.daemons:
-                if one.wanted and not one.is_running:
-                    self.seen.own_ends.append(f"{one.name} in life {one.lives}")
-                    one.wanted = False
+                if one.expected_running and not one.is_running:
+                    self.recorded.unexpected_exits.append(
+                        f"{one.name} in life {one.start_count}"
+                    )
+                    one.expected_running = False
 
-    def _text(self, one: Daemon, first: bool) -> str:
+    def _settings_text(self, one: Daemon, first: bool) -> str:
         seeds = ", ".join(f'"{other.peer.address}"' for other in self.daemons[:3])
         store = one.store.address
         return f"""\
@@ -356,7 +366,7 @@
 
 
 def _handles(pid: int, number: signal.Signals) -> bool:
-    """Tell whether a process catches or ignores a signal."""
+    """Return whether a process catches or ignores a signal."""
     handled = 0
     try:
         lines = pathlib.Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -370,5 +380,5 @@
 
 
 def run(work: typing.Coroutine[typing.Any, typing.Any, typing.Any]) -> typing.Any:
-    """Run a soak's work."""
+    """Run a coroutine in a uvloop event loop."""
     return uvloop.run(work)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: each check finds what it is for, and a short seed is clean."""
+"""The fault soak: each check detects its violation, and a short run has no findings."""
 
 import asyncio
 import random
@@ -13,12 +13,14 @@
 START = 1000.0
 PATHS = {"safe": "/safe/", "book": "/book/", "stream": "/stream/"}
 SERVICES = {"/safe/": "plain", "/book/": "plain", "/stream/": "chat"}
-# Faults that need nothing to be in time: what is checked after them is safety alone.
+# Short enough for a test; only the checks without time bounds are run on it.
 SHORT = site.SoakSettings(seed=7, daemons=3, engines=4, rate=30.0, seconds=5.0)
 
 
-def _attempt(seen: records.Records, kind: str, **fields: object) -> records.Attempt:
-    name = f"c{len(seen.attempts)}"
+def _add_attempt(
+    recorded: records.Records, kind: str, **fields: object
+) -> records.Attempt:
+    name = f"c{len(recorded.attempts)}"
     made = records.Attempt(name, kind, f"{PATHS[kind]}{name}", "key-a", b"b")
     made.daemon = "cq-1"
     made.sent_at = START
@@ -26,12 +28,12 @@
     made.deadline = START + 4.0
     for field, value in fields.items():
         setattr(made, field, value)
-    seen.attempts[name] = made
+    recorded.attempts[name] = made
     return made
 
 
-def _run(
-    seen: records.Records, attempt: records.Attempt, engine: str = "i-1", **fields
+def _add_run(
+    recorded: records.Records, attempt: records.Attempt, engine: str = "i-1", **fields
 ) -> records.Run:
     headers = {
         "cassiaquay-attempt-id": attempt.name,
@@ -43,22 +45,22 @@
     made.at = START + 0.05
     made.executed = True
     made.status = 200
-    made.seal = f"{attempt.name}.{len(seen.runs)}"
+    made.seal = f"{attempt.name}.{len(recorded.runs)}"
     for field, value in fields.items():
         setattr(made, field, value)
-    seen.runs.append(made)
+    recorded.runs.append(made)
     return made
 
 
-def _served(
-    seen: records.Records, kind: str, **fields: object
+def _add_served(
+    recorded: records.Records, kind: str, **fields: object
 ) -> tuple[records.Attempt, records.Run]:
-    """Add a request that went well; ``fields`` spoil the attempt."""
-    attempt = _attempt(seen, kind, status=200, complete=True)
-    run = _run(seen, attempt)
+    """Add a request that was served; ``fields`` override those of the attempt."""
+    attempt = _add_attempt(recorded, kind, status=200, complete=True)
+    run = _add_run(recorded, attempt)
     attempt.headers["cassiaquay-response-seal"] = run.seal
     if kind == "stream":
-        events = [engines.event_of(attempt.name, n) for n in range(engines.EVENTS)]
+        events = [engines.event_of(attempt.name, n) for n in range(engines.EVENT_COUNT)]
         attempt.answer = b"".join(events)
     else:
         attempt.answer = engines.body_of(run.seal)
@@ -67,195 +69,197 @@
     return attempt, run
 
 
-def _records() -> records.Records:
-    seen = records.Records()
+def _make_records() -> records.Records:
+    recorded = records.Records()
     keys = frozenset({"key-a", "key-c"})
-    seen.changes.append(records.Change(START - 100.0, keys, dict(SERVICES)))
-    return seen
+    recorded.changes.append(records.Change(START - 100.0, keys, dict(SERVICES)))
+    return recorded
 
 
-def _found(seen: records.Records) -> set[str]:
-    return {finding.check for finding in checks.run(seen, timed=True)}
+def _failed_checks(recorded: records.Records) -> set[str]:
+    return {finding.check for finding in checks.run(recorded, timed=True)}
 
 
-def test_a_good_day_has_no_findings() -> None:
-    seen = _records()
+def test_served_and_refused_requests_give_no_findings() -> None:
+    recorded = _make_records()
     for kind in PATHS:
         for _ in range(10):
-            _served(seen, kind)
-    _attempt(seen, "book", status=503)
-    seen.calm_from = START - 50.0
-    assert not _found(seen)
+            _add_served(recorded, kind)
+    _add_attempt(recorded, "book", status=503)
+    recorded.faults_ended_at = START - 50.0
+    assert not _failed_checks(recorded)
 
 
-def _twice(seen: records.Records) -> None:
-    attempt, _ = _served(seen, "book")
-    _run(seen, attempt, "i-2")
+def _run_at_two_engines(recorded: records.Records) -> None:
+    attempt, _ = _add_served(recorded, "book")
+    _add_run(recorded, attempt, "i-2")
 
 
-def _refused(seen: records.Records) -> None:
-    _run(seen, _attempt(seen, "book", status=503))
+def _refused_but_run(recorded: records.Records) -> None:
+    _add_run(recorded, _add_attempt(recorded, "book", status=503))
 
 
-def _smuggled(seen: records.Records) -> None:
-    attempt, _ = _served(seen, "safe")
-    del seen.attempts[attempt.name]
+def _unsent_run(recorded: records.Records) -> None:
+    attempt, _ = _add_served(recorded, "safe")
+    del recorded.attempts[attempt.name]
 
 
-def _changed(seen: records.Records) -> None:
-    attempt, _ = _served(seen, "safe")
+def _altered_path(recorded: records.Records) -> None:
+    attempt, _ = _add_served(recorded, "safe")
     attempt.path += "?more"
 
 
-def _other_team(seen: records.Records) -> None:
-    _, run = _served(seen, "safe")
+def _run_for_other_team(recorded: records.Records) -> None:
+    _, run = _add_served(recorded, "safe")
     run.request.headers["cassiaquay-tenant"] = "green"
 
 
-def _other_body(seen: records.Records) -> None:
-    _served(seen, "safe", answer=b"something")
+def _answer_with_other_body(recorded: records.Records) -> None:
+    _add_served(recorded, "safe", answer=b"something")
 
 
-def _other_seal(seen: records.Records) -> None:
-    attempt, _ = _served(seen, "safe")
+def _answer_with_unknown_seal(recorded: records.Records) -> None:
+    attempt, _ = _add_served(recorded, "safe")
     attempt.headers["cassiaquay-response-seal"] = "c9.9"
 
 
-def _cut_but_complete(seen: records.Records) -> None:
-    attempt, _ = _served(seen, "stream")
+def _truncated_complete_stream(recorded: records.Records) -> None:
+    attempt, _ = _add_served(recorded, "stream")
     attempt.answer = attempt.answer[:-5]
 
 
-def _event_twice(seen: records.Records) -> None:
-    attempt, _ = _served(seen, "stream", complete=False)
+def _repeated_event(recorded: records.Records) -> None:
+    attempt, _ = _add_served(recorded, "stream", complete=False)
     attempt.answer = engines.event_of(attempt.name, 0) * 2
 
 
-def _three_engines(seen: records.Records) -> None:
-    attempt, _ = _served(seen, "safe")
-    _run(seen, attempt, "i-2")
-    _run(seen, attempt, "i-3")
+def _runs_at_three_engines(recorded: records.Records) -> None:
+    attempt, _ = _add_served(recorded, "safe")
+    _add_run(recorded, attempt, "i-2")
+    _add_run(recorded, attempt, "i-3")
 
 
-def _many_repeats(seen: records.Records) -> None:
+def _repeats_over_budget(recorded: records.Records) -> None:
     for _ in range(int(site.RETRY_EXTRA * 2)):
-        attempt, _ = _served(seen, "safe")
-        _run(seen, attempt, "i-2")
+        attempt, _ = _add_served(recorded, "safe")
+        _add_run(recorded, attempt, "i-2")
 
 
-def _much_for_the_small(seen: records.Records) -> None:
+def _tokens_over_quota(recorded: records.Records) -> None:
     for _ in range(10):
-        _, run = _served(seen, "safe", key="key-c")
+        _, run = _add_served(recorded, "safe", key="key-c")
         run.request.headers["cassiaquay-tenant"] = "small"
         run.request.headers["cassiaquay-token-counts"] = "1000,10"
 
 
-def _own_end(seen: records.Records) -> None:
-    seen.own_ends.append("cq-1")
+def _unexpected_exit(recorded: records.Records) -> None:
+    recorded.unexpected_exits.append("cq-1")
 
 
-def _key_that_never_held(seen: records.Records) -> None:
-    _, run = _served(seen, "safe", key="key-b")
+def _run_with_unknown_key(recorded: records.Records) -> None:
+    _, run = _add_served(recorded, "safe", key="key-b")
     run.request.headers["cassiaquay-tenant"] = "green"
 
 
-def _denied(seen: records.Records) -> None:
-    _attempt(seen, "safe", status=401)
+def _denied_valid_key(recorded: records.Records) -> None:
+    _add_attempt(recorded, "safe", status=401)
 
 
-def _late_change(seen: records.Records) -> None:
-    seen.changes.append(records.Change(START - 20.0, frozenset(), dict(SERVICES)))
-    _served(seen, "safe")
+def _replaced_configuration_in_use(recorded: records.Records) -> None:
+    recorded.changes.append(records.Change(START - 20.0, frozenset(), dict(SERVICES)))
+    _add_served(recorded, "safe")
 
 
-def _back(seen: records.Records) -> None:
-    seen.changes.append(records.Change(START, frozenset(), dict(SERVICES)))
-    _attempt(seen, "safe", status=401, sent_at=START + 0.1, ended_at=START + 0.2)
-    _served(seen, "safe", sent_at=START + 0.6, ended_at=START + 0.7)
+def _configuration_rollback(recorded: records.Records) -> None:
+    recorded.changes.append(records.Change(START, frozenset(), dict(SERVICES)))
+    _add_attempt(
+        recorded, "safe", status=401, sent_at=START + 0.1, ended_at=START + 0.2
+    )
+    _add_served(recorded, "safe", sent_at=START + 0.6, ended_at=START + 0.7)
 
 
-def _drained(seen: records.Records) -> None:
-    seen.leaving["i-1"] = START - 5.0
-    _served(seen, "safe")
+def _work_at_drained_engine(recorded: records.Records) -> None:
+    recorded.leaving_since["i-1"] = START - 5.0
+    _add_served(recorded, "safe")
 
 
-def _dropped(seen: records.Records) -> None:
-    for _ in range(checks.FEW + 1):
-        _run(seen, _attempt(seen, "book"))
+def _accepted_requests_dropped(recorded: records.Records) -> None:
+    for _ in range(checks.MAX_TOLERATED + 1):
+        _add_run(recorded, _add_attempt(recorded, "book"))
 
 
-def _too_long(seen: records.Records) -> None:
-    _, run = _served(seen, "safe")
+def _deadline_extended(recorded: records.Records) -> None:
+    _, run = _add_served(recorded, "safe")
     run.request.headers["cassiaquay-deadline-ms"] = "9000"
 
 
-def _after_its_caller(seen: records.Records) -> None:
-    for _ in range(checks.FEW + 1):
-        _run(seen, _attempt(seen, "safe", gave_up=True), at=START + 1.0)
+def _work_after_disconnect(recorded: records.Records) -> None:
+    for _ in range(checks.MAX_TOLERATED + 1):
+        _add_run(recorded, _add_attempt(recorded, "safe", gave_up=True), at=START + 1.0)
 
 
-def _never_again(seen: records.Records) -> None:
-    seen.calm_from = START - 50.0
+def _nothing_served_after_faults(recorded: records.Records) -> None:
+    recorded.faults_ended_at = START - 50.0
     for _ in range(10):
-        _attempt(seen, "safe", status=503)
+        _add_attempt(recorded, "safe", status=503)
 
 
-def _sent_on(seen: records.Records) -> None:
-    seen.crashing.add("/stream/crashes")
+def _crashing_request_resent(recorded: records.Records) -> None:
+    recorded.crashing_targets.add("/stream/crashes")
     for number in range(9):
-        attempt = _attempt(seen, "stream", path="/stream/crashes")
-        run = _run(seen, attempt, f"i-{number}", harmed=True)
+        attempt = _add_attempt(recorded, "stream", path="/stream/crashes")
+        run = _add_run(recorded, attempt, f"i-{number}", has_engine_fault=True)
         run.at = START + 2.0 * number
 
 
 @pytest.mark.parametrize(
-    ("check", "spoil"),
+    ("check", "violate"),
     [
-        ("twice", _twice),
-        ("refused", _refused),
-        ("unasked", _smuggled),
-        ("unasked", _changed),
-        ("unasked", _other_team),
-        ("mixed", _other_body),
-        ("mixed", _other_seal),
-        ("mixed", _cut_but_complete),
-        ("order", _event_twice),
-        ("engines", _three_engines),
-        ("repeats", _many_repeats),
-        ("quota", _much_for_the_small),
-        ("own ends", _own_end),
-        ("denied", _key_that_never_held),
-        ("denied", _denied),
-        ("configuration", _late_change),
-        ("regress", _back),
-        ("draining", _drained),
-        ("lost", _dropped),
-        ("deadline", _too_long),
-        ("gone", _after_its_caller),
-        ("recovered", _never_again),
-        ("crashing", _sent_on),
+        ("twice", _run_at_two_engines),
+        ("refused", _refused_but_run),
+        ("unasked", _unsent_run),
+        ("unasked", _altered_path),
+        ("unasked", _run_for_other_team),
+        ("mixed", _answer_with_other_body),
+        ("mixed", _answer_with_unknown_seal),
+        ("mixed", _truncated_complete_stream),
+        ("order", _repeated_event),
+        ("engines", _runs_at_three_engines),
+        ("repeats", _repeats_over_budget),
+        ("quota", _tokens_over_quota),
+        ("own ends", _unexpected_exit),
+        ("denied", _run_with_unknown_key),
+        ("denied", _denied_valid_key),
+        ("configuration", _replaced_configuration_in_use),
+        ("regress", _configuration_rollback),
+        ("draining", _work_at_drained_engine),
+        ("lost", _accepted_requests_dropped),
+        ("deadline", _deadline_extended),
+        ("gone", _work_after_disconnect),
+        ("recovered", _nothing_served_after_faults),
+        ("crashing", _crashing_request_resent),
     ],
 )
-def test_a_check_finds_what_it_is_for(check: str, spoil) -> None:
-    seen = _records()
-    spoil(seen)
-    assert check in _found(seen)
+def test_check_detects_its_violation(check: str, violate) -> None:
+    recorded = _make_records()
+    violate(recorded)
+    assert check in _failed_checks(recorded)
 
 
-def test_a_disturbed_daemon_is_not_held_to_its_bounds() -> None:
-    seen = _records()
-    _late_change(seen)
-    assert "configuration" in _found(seen)
-    seen.faults.add("cq-1", START - 4.0)
-    assert "configuration" not in _found(seen)
+def test_timed_check_skips_disturbed_daemon() -> None:
+    recorded = _make_records()
+    _replaced_configuration_in_use(recorded)
+    assert "configuration" in _failed_checks(recorded)
+    recorded.faults.add("cq-1", START - 4.0)
+    assert "configuration" not in _failed_checks(recorded)
 
 
-def test_a_proxy_holds_back_and_loses_nothing() -> None:
-    """A cut of one direction holds bytes; they come, in order, when it heals."""
+def test_proxy_delivers_held_bytes_after_heal() -> None:
+    """Bytes that a cut of one direction holds back are delivered when it heals."""
 
     async def work() -> None:
-        seen = records.Records()
-        engine = engines.Engine("i-1", "plain", seen, random.Random(1))
+        recorded = records.Records()
+        engine = engines.Engine("i-1", "plain", recorded, random.Random(1))
         await engine.start()
         proxy = proxies.Proxy(engine.address)
         await proxy.start()
@@ -276,20 +280,22 @@
     asyncio.run(work())
 
 
-def test_a_short_seed_is_safe(tmp_path) -> None:
-    """Daemons are killed, paused, cut off and reloaded while callers go on.
+def test_short_soak_run_has_no_safety_findings(tmp_path) -> None:
+    """Daemons are killed, paused, cut off and reloaded while callers send requests.
 
-    Whatever is late, no request may run twice, be refused and run, get another's
-    answer or end a daemon.
+    Even if answers are late, no request may run twice, run after a refusal, get the
+    answer to another request or make a daemon exit.
     """
-    outcome = asyncio.run(main.play(SHORT._replace(folder=str(tmp_path)), timed=False))
+    outcome = asyncio.run(
+        main.run_seed(SHORT._replace(folder=str(tmp_path)), timed=False)
+    )
     assert not outcome.findings
     assert sum(outcome.faults.values()) > 0
     assert outcome.served > 0
 
 
-def test_the_demonstration_of_the_gateway_keeps_its_promises(capsys) -> None:
-    """A daemon is stopped as planned and started again; no caller loses anything."""
+def test_gateway_demo_breaks_no_promise(capsys) -> None:
+    """A graceful stop and restart of one daemon breaks no promise to callers."""
     assert gateway_demo.run(seconds=3.0, rate=20.0, daemons=2) == 0
     shown = capsys.readouterr().out
     assert "0 promises broken" in shown
