--- a/packages/dev/cassiaquay_dev/cluster.py
+++ b/packages/dev/cassiaquay_dev/cluster.py
@@ -1,4 +1,4 @@
-"""A deployment on the loopback address: stand-ins and real daemons as processes."""
+"""A deployment on the loopback address: stand-ins and daemons as child processes."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 
 class DaemonAddresses(typing.NamedTuple):
-    """Where one daemon listens, as host:port."""
+    """Listening addresses of one daemon, as host:port."""
 
     http: str
     peer: str
@@ -22,22 +22,22 @@
 
 
 class Cluster:
-    """Stand-ins and daemons of one deployment.
+    """Starts, observes and stops the processes of one deployment.
 
     Parameters
     ----------
     deployment : Deployment
-        What to start.
+        Backend servers, services, tiers and teams of the deployment.
     daemons : int
         Number of instances.
     folder : Path
-        Where settings and logs go.
+        Directory for settings files and logs.
     policy : str
-        Policy of the keepers.
+        Placement policy of the keepers, the instances that admit requests to shards.
     extra : str
-        More lines for the settings of each daemon.
+        Additional lines for the settings of each daemon.
     level : str
-        Lowest level of its log lines.
+        Log level of the daemons.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
 
     @property
     def seeds(self) -> list[str]:
-        """The callers' addresses of all daemons."""
+        """The addresses of all daemons for callers."""
         return [one.http for one in self.listening.values()]
 
     async def start(self) -> None:
@@ -77,11 +77,11 @@
         await asyncio.gather(*(self.wait_until_known(name) for name in names))
 
     def use_partition(self, partition_: partition.Partition) -> None:
-        """Let the instances reach each other through proxies that can be cut."""
+        """Connect the instances through the proxies of a partition."""
         self._partition = partition_
 
     async def start_daemon(self, name: str) -> None:
-        """Start one daemon and put it on the instance list."""
+        """Start one daemon and add it to the platform's instance list."""
         number = int(name.rpartition("-")[2])
         domain = self.deployment.domains[number % len(self.deployment.domains)]
         settings = self.folder / f"{name}.toml"
@@ -96,8 +96,10 @@
         self.daemons[name] = process
         before = len(process.lines())
         await process.start()
-        await process.wait_for(lambda lines: _ready(lines[before:]) is not None)
-        found = _ready(process.lines()[before:])
+        await process.wait_for(
+            lambda lines: _ready_addresses(lines[before:]) is not None
+        )
+        found = _ready_addresses(process.lines()[before:])
         assert found is not None
         if self._partition is not None:
             found = found._replace(
@@ -107,7 +109,7 @@
         await self.list_instance(name, "entry", domain, found.http, found.peer, "live")
 
     async def wait_until_known(self, name: str) -> None:
-        """Wait until a daemon has a configuration and sees the other live daemons."""
+        """Wait until a daemon has a configuration and lists all started daemons."""
         process = self.daemons[name]
         end = asyncio.get_running_loop().time() + processes.START_SECONDS
         while True:
@@ -115,17 +117,19 @@
             if status["revision"] and len(status["members"]) >= len(self.listening):
                 return
             if asyncio.get_running_loop().time() > end:
-                raise processes.StartError(f"{process.name} is alone: {status}")
+                raise processes.StartError(
+                    f"{process.name} does not list all daemons: {status}"
+                )
             await asyncio.sleep(processes.POLL_SECONDS)
 
     async def status(self, name: str) -> dict[str, typing.Any]:
-        """Return what a daemon tells operators."""
+        """Return the status that a daemon reports to operators."""
         url = f"http://{self.listening[name].admin}/v1/status"
         async with self.http.get(url) as response:
             return typing.cast(dict[str, typing.Any], await response.json())
 
     async def publish(self, text: str) -> None:
-        """Publish a fleet text."""
+        """Publish a fleet text, the configuration of the deployment."""
         url = f"http://{self.platform}/control/config"
         async with self.http.put(url, data=text.encode()) as response:
             response.raise_for_status()
@@ -133,7 +137,7 @@
     async def list_instance(
         self, name: str, kind: str, domain: str, http: str, peer: str, state: str
     ) -> None:
-        """Put one line on the platform's instance list."""
+        """Add or replace an entry of the platform's instance list."""
         line = {
             "name": name,
             "kind": kind,
@@ -147,7 +151,7 @@
     async def control(
         self, address: str, method: str, path: str, body: object = None
     ) -> typing.Any:
-        """Call a stand-in's control; return its JSON answer."""
+        """Call a control route of a stand-in; return its JSON answer."""
         url = f"http://{address}{path}"
         async with self.http.request(method, url, json=body) as response:
             response.raise_for_status()
@@ -155,7 +159,7 @@
             return json.loads(text) if text else None
 
     async def stop(self) -> dict[str, int]:
-        """Stop the daemons gracefully, then the stand-ins; return exit statuses."""
+        """Stop the daemons, then the stand-ins; return the daemons' exit statuses."""
         names = list(self.daemons)
         codes = await asyncio.gather(*(self.daemons[n].stop() for n in names))
         await asyncio.gather(*(one.stop() for one in self.standins.values()))
@@ -172,7 +176,7 @@
 
     async def _start_platform(self) -> None:
         process = await self._standin("platform", ["--instances_lag_ms=200"])
-        self.platform = _address(process)
+        self.platform = _ready_address(process)
 
     async def _start_engine(self, engine: deployments.EngineSpec) -> None:
         flags = [
@@ -183,12 +187,12 @@
             f"--cache_tokens={engine.cache_tokens}",
         ]
         process = await self._standin(engine.name, flags, "engine")
-        self.addresses[engine.name] = _address(process)
+        self.addresses[engine.name] = _ready_address(process)
 
     async def _start_plain(self, plain: deployments.PlainSpec) -> None:
         flags = [f"--slots={plain.slots}", f"--service_ms={plain.service_ms}"]
         process = await self._standin(plain.name, flags, "plain")
-        self.addresses[plain.name] = _address(process)
+        self.addresses[plain.name] = _ready_address(process)
 
     async def _standin(
         self, name: str, flags: list[str], module: str = "platform"
@@ -198,7 +202,9 @@
         )
         self.standins[name] = process
         await process.start()
-        await process.wait_for(lambda lines: any(_is_ready(line) for line in lines))
+        await process.wait_for(
+            lambda lines: any(_is_ready_line(line) for line in lines)
+        )
         return process
 
     def _settings(self, name: str, domain: str) -> str:
@@ -222,16 +228,16 @@
 """
 
 
-def _is_ready(line: str) -> bool:
+def _is_ready_line(line: str) -> bool:
     return line.startswith("ready address=")
 
 
-def _address(process: processes.Process) -> str:
-    line = next(line for line in process.lines() if _is_ready(line))
+def _ready_address(process: processes.Process) -> str:
+    line = next(line for line in process.lines() if _is_ready_line(line))
     return line.partition("=")[2]
 
 
-def _ready(lines: list[str]) -> DaemonAddresses | None:
+def _ready_addresses(lines: list[str]) -> DaemonAddresses | None:
     for line in lines:
         if not line.startswith("{"):
             continue
--- a/packages/dev/cassiaquay_dev/demo.py
+++ b/packages/dev/cassiaquay_dev/demo.py
@@ -1,4 +1,7 @@
-"""``make demo``: Brindley Lane on this machine, a mixed workload, a table by tier."""
+"""``make demo``: run the Brindley deployment under a mixed load, print results by tier.
+
+The history of callers, daemons and backend servers is checked against the promises.
+"""
 
 import asyncio
 import collections
@@ -19,19 +22,19 @@
     "tier         sent  in time  late  not run  unknown  failed   p50 s   p95 s"
     "  prefill  wasted"
 )
-LOST = (engine_stream.CANCELLED, engine_stream.DROPPED)
+WASTED_STATES = (engine_stream.CANCELLED, engine_stream.DROPPED)
 
 
 class Prefill(typing.NamedTuple):
-    """Prompt tokens that the engines read for one tier, and read for nothing."""
+    """Prompt tokens that the engines prefilled for a tier, and the wasted part."""
 
     read: int = 0
     wasted: int = 0
 
 
 async def prefill_by_tier(started: cluster.Cluster) -> dict[str, Prefill]:
-    """Return what the engines read by tier, from their own logs."""
-    tiers = _tiers(started)
+    """Return the prefilled tokens by tier, from the dispatch logs of the engines."""
+    tiers = _tiers_by_request(started)
     found: dict[str, Prefill] = collections.defaultdict(Prefill)
     for engine in started.deployment.engines:
         address = started.addresses[engine.name]
@@ -39,7 +42,7 @@
         for line in log["dispatches"]:
             tier = tiers[line["id"].rpartition("~")[0]]
             read = line["prefilled_tokens"]
-            wasted = read if line["state"] in LOST else 0
+            wasted = read if line["state"] in WASTED_STATES else 0
             before = found[tier]
             found[tier] = Prefill(before.read + read, before.wasted + wasted)
     return found
@@ -48,18 +51,18 @@
 def table(
     results: list[driver.Result], tiers: list[str], prefill: dict[str, Prefill]
 ) -> str:
-    """Return the table by tier."""
+    """Return a text table with one line of results for each tier."""
     lines = [COLUMNS]
     for tier in tiers:
-        mine = [result for result in results if result.arrival.tier == tier]
-        done = [result for result in mine if result.outcome == "completed"]
-        in_time = sum(1 for result in done if result.in_time)
-        counts = collections.Counter(result.outcome for result in mine)
-        seconds = [result.seconds for result in done] or [float("nan")]
+        tier_results = [result for result in results if result.arrival.tier == tier]
+        completed = [result for result in tier_results if result.outcome == "completed"]
+        in_time = sum(1 for result in completed if result.in_time)
+        counts = collections.Counter(result.outcome for result in tier_results)
+        seconds = [result.seconds for result in completed] or [float("nan")]
         p50, p95 = numpy.percentile(seconds, [50, 95])
         read, wasted = prefill.get(tier, Prefill())
         lines.append(
-            f"{tier:<12}{len(mine):>5}{in_time:>9}{len(done) - in_time:>6}"
+            f"{tier:<12}{len(tier_results):>5}{in_time:>9}{len(completed) - in_time:>6}"
             f"{counts['not_run']:>9}{counts['outcome_unknown']:>9}"
             f"{counts['failed']:>8}{p50:>8.2f}{p95:>8.2f}{read:>9}{wasted:>8}"
         )
@@ -67,7 +70,7 @@
 
 
 def record_answers(recorder: history.Recorder, results: list[driver.Result]) -> None:
-    """Add the whole answers of model engines to the history."""
+    """Add the complete answers of model engines to the history."""
     for result in results:
         if result.outcome != "completed" or result.arrival.path:
             continue
@@ -80,7 +83,7 @@
 
 
 async def demo(seconds: float, rate: float, daemons: int, seed: int) -> int:
-    """Run the demonstration; return 1 when a promise broke."""
+    """Run the demonstration; return 1 if a promise broke or a daemon failed."""
     deployment = deployments.deployments.get("brindley")
     recorder = history.Recorder()
     with tempfile.TemporaryDirectory(prefix="cassiaquay-demo-") as folder:
@@ -92,14 +95,14 @@
             await started.start()
             arrivals = workloads.mixed(deployment, seed, seconds, rate)
             sender = driver.Driver(started.seeds, deployment.domains, recorder.watch)
-            progress = asyncio.create_task(_progress(sender, len(arrivals)))
+            progress = asyncio.create_task(_print_progress(sender, len(arrivals)))
             results = await sender.run(arrivals)
             progress.cancel()
             prefill = await prefill_by_tier(started)
             await history.collect_back_ends(started, recorder.history)
         finally:
             codes = await started.stop()
-        # Read after the planned stop, so that it is judged too.
+        # Read after the planned stop, so that the checks cover it too.
         history.collect_daemons(started, recorder.history)
     record_answers(recorder, results)
     breaches = checker.check(recorder.history)
@@ -115,7 +118,7 @@
     return 1 if breaches or any(codes.values()) else 0
 
 
-def _tiers(started: cluster.Cluster) -> dict[str, str]:
+def _tiers_by_request(started: cluster.Cluster) -> dict[str, str]:
     tiers = {}
     for process in started.daemons.values():
         for line in process.lines():
@@ -127,7 +130,7 @@
     return tiers
 
 
-async def _progress(sender: driver.Driver, total: int) -> None:
+async def _print_progress(sender: driver.Driver, total: int) -> None:
     while True:
         await asyncio.sleep(2.0)
         print(f"  {len(sender.results)} of {total} requests ended", flush=True)
@@ -140,7 +143,7 @@
     seed: int = 1,
     path: str = "own",
 ) -> None:
-    """Run the demonstration and exit with its verdict; ``path`` own or gateway."""
+    """Run the demonstration and exit with its status; ``path`` is own or gateway."""
     if path == "gateway":
         sys.exit(gateway_demo.run(seconds, rate, daemons))
     sys.exit(asyncio.run(demo(seconds, rate, daemons, seed)))
--- a/packages/dev/cassiaquay_dev/deployments.py
+++ b/packages/dev/cassiaquay_dev/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the brief, as stand-ins and a fleet text."""
+"""The two example deployments: their stand-ins and their fleet text."""
 
 import hashlib
 import typing
@@ -14,11 +14,11 @@
     name, domain : str
         Name and failure domain.
     prefill_tokens_per_second : float
-        Speed of reading prompts.
+        Speed of prefill.
     step_ms : float
-        Fixed part of one step; every running request gets a token a step.
+        Fixed duration of one step, in which every decoding request gets a token.
     max_batch : int
-        Requests running at a time.
+        Maximum number of concurrent requests.
     cache_tokens : int
         Size of the prefix cache.
     """
@@ -32,7 +32,7 @@
 
 
 class PlainSpec(typing.NamedTuple):
-    """One plain server."""
+    """One plain server: concurrent requests and mean service time."""
 
     name: str
     domain: str
@@ -41,7 +41,7 @@
 
 
 class TeamSpec(typing.NamedTuple):
-    """One team and its share of the requests."""
+    """One team, its weight in fair sharing and its share of the generated requests."""
 
     name: str
     credential: str
@@ -50,7 +50,7 @@
 
 
 class Deployment(typing.NamedTuple):
-    """A deployment: its places, back ends, services, tiers and teams."""
+    """Failure domains, backend servers, services, tiers and teams of a deployment."""
 
     name: str
     domains: list[str]
@@ -98,7 +98,8 @@
         ],
         TIERS,
         _teams(["feedback", "questions", "homework", "parents", "timetable"]),
-        # An answer too late counts as a failure here; prefill is cheap beside it.
+        # A late answer counts as a failure in this deployment, and wasted prefill
+        # costs little in comparison.
         {"urgent": 0.9},
     )
 )
@@ -135,9 +136,9 @@
     Parameters
     ----------
     deployment : Deployment
-        What to describe.
+        The deployment to describe.
     addresses : dict of str to str
-        host:port by the name of each backend server.
+        Address (host:port) of each backend server, by name.
     """
     lines = []
     for rank, tier in enumerate(deployment.tiers):
--- a/packages/dev/cassiaquay_dev/style/__init__.py
+++ b/packages/dev/cassiaquay_dev/style/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of how the code is written, for `make lint`."""
+"""Style checks of the source code, for `make lint`."""
--- a/packages/dev/cassiaquay_dev/style/imports.py
+++ b/packages/dev/cassiaquay_dev/style/imports.py
@@ -1,7 +1,7 @@
 """Check that modules are imported, not names.
 
 ``from . import keeper`` and ``import typing`` pass; ``from typing import NamedTuple``
-does not. Generated code and ``__future__`` are left aside.
+does not. Generated code and ``__future__`` are not checked.
 
 Run as ``python -m cassiaquay_dev.style.imports DIRECTORY [DIRECTORY ...]``; exits 1
 when a name is imported.
@@ -25,7 +25,7 @@
 
 
 def is_module(base: str, name: str) -> bool:
-    """Tell whether ``name`` under the package ``base`` is a module."""
+    """Return whether ``name`` is a module of the package ``base``."""
     try:
         return importlib.util.find_spec(f"{base}.{name}") is not None
     except (ImportError, AttributeError, ValueError):
@@ -33,7 +33,7 @@
 
 
 def is_sibling_module(path: pathlib.Path, node: ast.ImportFrom, name: str) -> bool:
-    """Tell whether a relative import names a module beside or above ``path``."""
+    """Return whether a relative import in ``path`` imports a module or package."""
     folder = path.parent
     for _ in range(node.level - 1):
         folder = folder.parent
@@ -43,7 +43,7 @@
 
 
 def check_file(path: pathlib.Path) -> list[Finding]:
-    """Return the imported names of one file."""
+    """Return the imports of one file that import a name, not a module."""
     text = path.read_text()
     if text.startswith(GENERATED_MARK):
         return []
@@ -63,7 +63,7 @@
 
 
 def main(folders: list[str]) -> int:
-    """Check every Python file below ``folders`` and print what was found."""
+    """Check every Python file below ``folders``; print findings, return the status."""
     findings = []
     for folder in folders:
         for path in sorted(pathlib.Path(folder).rglob("*.py")):
--- a/packages/dev/cassiaquay_dev/style/lengths.py
+++ b/packages/dev/cassiaquay_dev/style/lengths.py
@@ -1,7 +1,7 @@
-"""Check that no source file is longer than can be read at a sitting.
+"""Check that no source file has more than `MAX_LINES` lines.
 
 Run as ``python -m cassiaquay_dev.style.lengths DIRECTORY [DIRECTORY ...]``; exits 1
-when a file is longer than `MAX_LINES`. Generated code is left aside.
+when a file is longer. Generated code is not checked.
 """
 
 import pathlib
@@ -12,7 +12,7 @@
 
 
 def too_long(folder: pathlib.Path) -> list[str]:
-    """Return a line for each Python file below ``folder`` that is too long."""
+    """Return a message for each Python file below ``folder`` that is too long."""
     found = []
     for path in sorted(folder.rglob("*.py")):
         text = path.read_text()
@@ -25,7 +25,7 @@
 
 
 def main(folders: list[str]) -> int:
-    """Check every folder and print what was found."""
+    """Check every folder; print findings and return the exit status."""
     findings = []
     for folder in folders:
         findings.extend(too_long(pathlib.Path(folder)))
--- a/packages/dev/cassiaquay_dev/up.py
+++ b/packages/dev/cassiaquay_dev/up.py
@@ -1,8 +1,8 @@
-"""A deployment on this machine, kept up with a light load until ctrl-c.
+"""Run a deployment on this machine under a light load until SIGINT or SIGTERM.
 
-Run as ``python -m cassiaquay_dev.up`` or ``make up``; it prints what is needed to try
-the operators' commands: addresses, process ids, and the path of the fleet text, which
-is published whenever it is saved.
+Run as ``python -m cassiaquay_dev.up`` or ``make up``. Prints what the operators'
+commands need: addresses, process ids and the path of the fleet text, which is
+published each time the file is saved.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 async def publish_saved(started: cluster.Cluster, path: pathlib.Path) -> None:
-    """Publish the fleet text each time it is saved, for ever."""
+    """Publish the fleet text each time the file changes, until cancelled."""
     before = await asyncio.to_thread(path.read_text)
     while True:
         await asyncio.sleep(POLL_SECONDS)
@@ -33,8 +33,8 @@
         print(f"published {path.name}", flush=True)
 
 
-async def send(started: cluster.Cluster, rate: float) -> None:
-    """Send a light load for ever, in rounds."""
+async def send_load(started: cluster.Cluster, rate: float) -> None:
+    """Send a light load in rounds of `ROUND_SECONDS`, until cancelled."""
     seed = 0
     while True:
         seed += 1
@@ -44,7 +44,7 @@
 
 
 def describe(started: cluster.Cluster, path: pathlib.Path) -> str:
-    """Return what a person needs to operate the deployment."""
+    """Return the addresses, process ids and paths that operators' commands need."""
     lines = []
     for name, found in sorted(started.listening.items()):
         pid = started.daemons[name].pid
@@ -56,15 +56,15 @@
     return "\n".join(lines)
 
 
-async def hold(
+async def run_deployment(
     name: str, daemons: int, rate: float, seconds: float, scale: float
 ) -> None:
-    """Start a deployment and keep it up for at most ``seconds``."""
+    """Run a deployment for at most ``seconds``, or until SIGTERM or SIGINT."""
     deployment = deployments.deployments.get(name)
-    ended = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+        loop.add_signal_handler(number, stop_requested.set)
     with tempfile.TemporaryDirectory(prefix="cassiaquay-") as folder:
         path = pathlib.Path(folder) / "fleet.toml"
         extra = f"[reports]\nburn_scale = {scale}"
@@ -74,10 +74,10 @@
             await started.start()
             path.write_text(deployments.fleet_text(deployment, started.addresses))
             tasks.append(asyncio.create_task(publish_saved(started, path)))
-            tasks.append(asyncio.create_task(send(started, rate)))
+            tasks.append(asyncio.create_task(send_load(started, rate)))
             print(describe(started, path), flush=True)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(ended.wait(), seconds)
+                await asyncio.wait_for(stop_requested.wait(), seconds)
         finally:
             for task in tasks:
                 task.cancel()
@@ -93,22 +93,22 @@
     seconds: float = 1800.0,
     burn_scale: float = 1.0,
 ) -> None:
-    """Keep a deployment up.
+    """Run a deployment under a light load.
 
     Parameters
     ----------
     deployment : str
         ``brindley`` or ``veiqia``.
     daemons : int
-        Instances.
+        Number of instances.
     rate : float
-        Requests a second.
+        Requests per second.
     seconds : float
-        Longest time.
+        Maximum run time.
     burn_scale : float
-        Factor on the burn windows.
+        Factor on the time windows of the burn rates of objectives.
     """
-    asyncio.run(hold(deployment, daemons, rate, seconds, burn_scale))
+    asyncio.run(run_deployment(deployment, daemons, rate, seconds, burn_scale))
 
 
 if __name__ == "__main__":
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins: each keeps the contract of docs/BACKENDS.md."""
+"""The stand-ins for engines, plain servers and the platform follow docs/BACKENDS.md."""
 
 import asyncio
 import collections.abc
@@ -28,7 +28,7 @@
 
 
 class Client:
-    """Calls to one stand-in."""
+    """HTTP client of one stand-in."""
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
         self.address = address
@@ -36,7 +36,7 @@
         self._base = f"http://{address}"
 
     async def read_one_event(self, path: str, body: typing.Any) -> bytes:
-        """POST, and close the connection after the first event."""
+        """Send a POST and close the connection after the first event."""
         async with self._session.post(self._base + path, json=body) as answer:
             return await answer.content.readuntil(b"\n\n")
 
@@ -56,7 +56,7 @@
             return answer.status, json.loads(content)
         return answer.status, content
 
-    async def until(
+    async def wait_until(
         self,
         path: str,
         condition: collections.abc.Callable[[typing.Any], bool],
@@ -80,7 +80,7 @@
         await served.stop()
 
 
-def events(count: int, first: int = 0, stream: str = "a") -> str:
+def event_text(count: int, first: int = 0, stream: str = "a") -> str:
     lines = []
     for index in range(first, count):
         data = json.dumps({"text": texts.expected_text(stream, index)})
@@ -88,25 +88,27 @@
     return "".join(lines)
 
 
-def done(text: str) -> dict[str, int]:
+def done_event(text: str) -> dict[str, int]:
     return json.loads(text.rsplit("event: done\ndata: ", 1)[1])
 
 
-def ask(max_tokens: int, prompt: str = PROMPT, **more: str) -> dict[str, typing.Any]:
-    return {"prompt": prompt, "max_tokens": max_tokens, **more}
+def new_body(
+    max_tokens: int, prompt: str = PROMPT, **overrides: str
+) -> dict[str, typing.Any]:
+    return {"prompt": prompt, "max_tokens": max_tokens, **overrides}
 
 
-def test_stream_whole_and_resumed():
+def test_stream_is_complete_and_resumable():
     async def scenario() -> None:
         async with serve(engine.Engine(FAST)) as client:
-            status, text = await client.call("POST", "/v1/streams/a", ask(20))
+            status, text = await client.call("POST", "/v1/streams/a", new_body(20))
             assert status == 200
-            assert text.startswith(events(20) + "event: done")
+            assert text.startswith(event_text(20) + "event: done")
             tokens = blocks.count_tokens(PROMPT)
             expected = {"count": 20, "prompt_tokens": tokens, "cached_tokens": 0}
-            assert done(text) == expected
+            assert done_event(text) == expected
             _, rest = await client.call("GET", "/v1/streams/a?from=7")
-            assert rest.startswith(events(20, 7) + "event: done")
+            assert rest.startswith(event_text(20, 7) + "event: done")
             assert (await client.call("GET", "/v1/streams/b"))[0] == 404
 
     asyncio.run(scenario())
@@ -115,11 +117,11 @@
 def test_duplicate_is_refused_and_logged():
     async def scenario() -> None:
         async with serve(engine.Engine(FAST)) as client:
-            await client.call("POST", "/v1/streams/a", ask(2))
-            status, _ = await client.call("POST", "/v1/streams/a", ask(2))
+            await client.call("POST", "/v1/streams/a", new_body(2))
+            status, _ = await client.call("POST", "/v1/streams/a", new_body(2))
             assert status == 409
             await client.call("POST", "/control/drop", {"id": "a"})
-            status, _ = await client.call("POST", "/v1/streams/a", ask(2))
+            status, _ = await client.call("POST", "/v1/streams/a", new_body(2))
             assert status == 200
             _, log = await client.call("GET", "/control/log")
             seen = [(one["state"], one["repeat"]) for one in log["dispatches"]]
@@ -136,32 +138,34 @@
             serve(engine.Engine(FAST)) as first,
             serve(engine.Engine(FAST)) as other,
         ):
-            await first.call("POST", "/v1/streams/a", ask(2))
-            _, text = await first.call("POST", "/v1/streams/b", ask(2, PROMPT + "x"))
-            assert done(text)["cached_tokens"] == cached
+            await first.call("POST", "/v1/streams/a", new_body(2))
+            _, text = await first.call(
+                "POST", "/v1/streams/b", new_body(2, PROMPT + "x")
+            )
+            assert done_event(text)["cached_tokens"] == cached
             _, totals = await first.call("GET", "/control/totals")
             prompt_tokens = 2 * blocks.count_tokens(PROMPT)
             assert totals["prefilled"] <= prompt_tokens - cached + 1
-            _, news = await first.call("GET", "/v1/kv/events?after=0")
-            stored = [block for one in news["events"] for block in one["blocks"]]
+            _, cache_log = await first.call("GET", "/v1/kv/events?after=0")
+            stored = [block for one in cache_log["events"] for block in one["blocks"]]
             assert stored == hashes
             _, kv = await first.call("POST", "/v1/kv/export", {"blocks": [*hashes, 5]})
             assert kv["blocks"] == hashes
             await other.call("POST", "/v1/kv/import", {"blob": kv["blob"]})
-            _, text = await other.call("POST", "/v1/streams/c", ask(2))
-            assert done(text)["cached_tokens"] == cached
+            _, text = await other.call("POST", "/v1/streams/c", new_body(2))
+            assert done_event(text)["cached_tokens"] == cached
 
     asyncio.run(scenario())
 
 
-def test_cache_keeps_to_its_memory():
+def test_cache_evicts_above_its_capacity():
     async def scenario() -> None:
         settings = FAST._replace(cache_tokens=4 * blocks.TOKENS_PER_BLOCK)
         async with serve(engine.Engine(settings)) as client:
-            await client.call("POST", "/v1/streams/a", ask(1))
-            _, news = await client.call("GET", "/v1/kv/events?after=0")
+            await client.call("POST", "/v1/streams/a", new_body(1))
+            _, cache_log = await client.call("GET", "/v1/kv/events?after=0")
             held: set[int] = set()
-            for event in news["events"]:
+            for event in cache_log["events"]:
                 if event["kind"] == "stored":
                     held |= set(event["blocks"])
                     continue
@@ -174,20 +178,20 @@
     asyncio.run(scenario())
 
 
-def test_cut_answer_goes_on_and_resumes():
+def test_cut_stream_continues_and_resumes():
     """The engine closes the connection of an answer after three events.
 
-    The caller reads three events and an error. The stream goes on in the engine, so
-    a resume from event 3 gives the rest and nothing is generated twice.
+    The caller reads three events and an error. The engine continues the stream, so a
+    resume from event 3 returns the rest and no token is generated twice.
     """
 
     async def scenario() -> None:
         async with serve(engine.Engine(FAST)) as client:
             await client.call("POST", "/control/cut", {"id": "a", "after": 3})
             with pytest.raises(aiohttp.ClientPayloadError):
-                await client.call("POST", "/v1/streams/a", ask(30))
+                await client.call("POST", "/v1/streams/a", new_body(30))
             _, rest = await client.call("GET", "/v1/streams/a?from=3")
-            assert rest.startswith(events(30, 3) + "event: done")
+            assert rest.startswith(event_text(30, 3) + "event: done")
             _, log = await client.call("GET", "/control/log")
             assert [one["generated_tokens"] for one in log["dispatches"]] == [30]
 
@@ -197,29 +201,29 @@
 def test_disconnect_does_not_stop_the_stream():
     """The caller closes the connection of its POST after one event.
 
-    The engine goes on to the end, so that a later read from 0 gives the whole answer;
-    a reader that comes while it runs gets the same.
+    The engine continues the stream, so that concurrent later reads from event 0 return
+    the complete answer.
     """
 
     async def scenario() -> None:
         async with serve(engine.Engine(FAST)) as client:
-            first = await client.read_one_event("/v1/streams/a", ask(50))
-            assert first.decode() == events(1)
+            first = await client.read_one_event("/v1/streams/a", new_body(50))
+            assert first.decode() == event_text(1)
             both = await asyncio.gather(
                 client.call("GET", "/v1/streams/a"),
                 client.call("GET", "/v1/streams/a?from=0"),
             )
             for _, text in both:
-                assert text.startswith(events(50) + "event: done")
+                assert text.startswith(event_text(50) + "event: done")
 
     asyncio.run(scenario())
 
 
-def test_finished_stream_is_forgotten_after_its_time():
+def test_finished_stream_is_removed_after_hold_time():
     async def scenario() -> None:
         async with serve(engine.Engine(FAST._replace(hold_seconds=0.01))) as client:
-            await client.call("POST", "/v1/streams/a", ask(1))
-            await client.until(
+            await client.call("POST", "/v1/streams/a", new_body(1))
+            await client.wait_until(
                 "/v1/streams/a", lambda content: content == {"code": "not_held"}
             )
 
@@ -231,29 +235,29 @@
         settings = FAST._replace(event_gap_share=0.5, cache_tokens=64)
         async with serve(engine.Engine(settings)) as client:
             for number in range(20):
-                body = ask(1, f"{number} {PROMPT}")
+                body = new_body(1, f"{number} {PROMPT}")
                 await client.call("POST", f"/v1/streams/s{number}", body)
-            _, news = await client.call("GET", "/v1/kv/events?after=0")
-            numbers = [event["sequence"] for event in news["events"]]
+            _, cache_log = await client.call("GET", "/v1/kv/events?after=0")
+            numbers = [event["sequence"] for event in cache_log["events"]]
             assert numbers == sorted(set(numbers))
-            assert 0 < len(numbers) < news["sequence"]
+            assert 0 < len(numbers) < cache_log["sequence"]
 
     asyncio.run(scenario())
 
 
-def test_cancel_reports_the_tokens_spent():
-    """A hung engine holds a stream, which its caller cancels.
+def test_cancel_reports_the_processed_tokens():
+    """A caller cancels a stream in a hung engine.
 
-    The answer ends without a done event, the engine reports the prefill that it had
-    done, and counts it as wasted. A late repeat of the id does not run.
+    The answer ends without a done event. The engine reports the prefilled tokens and
+    counts them as wasted. A late repeat of the id is refused.
     """
 
     async def scenario() -> None:
         async with serve(engine.Engine(FAST)) as client:
             post = asyncio.create_task(
-                client.call("POST", "/v1/streams/a", ask(100_000))
+                client.call("POST", "/v1/streams/a", new_body(100_000))
             )
-            await client.until(
+            await client.wait_until(
                 "/control/log",
                 lambda log: any(one["generated_tokens"] for one in log["dispatches"]),
             )
@@ -262,24 +266,26 @@
             _, text = await post
             assert status == 200
             assert spent["prefilled_tokens"] == blocks.count_tokens(PROMPT)
-            assert text == events(spent["generated_tokens"])
+            assert text == event_text(spent["generated_tokens"])
             _, totals = await client.call("GET", "/control/totals")
             assert totals["prefill_wasted"] == spent["prefilled_tokens"]
             assert (await client.call("DELETE", "/v1/streams/a"))[0] == 404
-            assert (await client.call("POST", "/v1/streams/a", ask(1)))[0] == 409
+            assert (await client.call("POST", "/v1/streams/a", new_body(1)))[0] == 409
 
     asyncio.run(scenario())
 
 
-def test_arrival_order_and_batch_limit():
+def test_streams_run_in_arrival_order_up_to_batch_limit():
     async def scenario() -> None:
         async with serve(engine.Engine(FAST._replace(max_batch=1))) as client:
             await client.call("POST", "/control/hang", {"on": True})
             posts = []
             for number in range(4):
                 path = f"/v1/streams/s{number}"
-                posts.append(asyncio.create_task(client.call("POST", path, ask(3))))
-                await client.until(
+                posts.append(
+                    asyncio.create_task(client.call("POST", path, new_body(3)))
+                )
+                await client.wait_until(
                     "/v1/load",
                     lambda load, n=number: load["running"] + load["waiting"] == n + 1,
                 )
@@ -295,7 +301,7 @@
 
 
 @pytest.mark.parametrize("refuse", [True, False])
-def test_old_fence(refuse: bool):
+def test_old_fence_is_refused_if_set(refuse: bool):
     async def scenario() -> None:
         settings = FAST._replace(refuse_old_fence=refuse)
         async with serve(engine.Engine(settings)) as client:
@@ -318,10 +324,11 @@
 
 
 def test_loading_refuses_new_streams_and_finishes_running_ones():
-    """An order to load another model comes while a stream runs.
+    """An order to load another model arrives while a stream runs.
 
-    The running stream ends whole and new ones get 503. The weight store answers 429
-    until the test lets it go; afterwards the old model's name is a bad request.
+    The running stream completes and new ones get 503. The weight store answers 429
+    until the test ends its refusal; after the load, a request for the old model gets
+    400.
     """
 
     async def scenario() -> None:
@@ -334,27 +341,29 @@
             settings = FAST._replace(weights=store.address)
             client = await stack.enter_async_context(serve(engine.Engine(settings)))
             await client.call("POST", "/control/hang", {"on": True})
-            post = asyncio.create_task(client.call("POST", "/v1/streams/a", ask(5)))
-            await client.until("/control/log", lambda log: log["dispatches"])
+            post = asyncio.create_task(
+                client.call("POST", "/v1/streams/a", new_body(5))
+            )
+            await client.wait_until("/control/log", lambda log: log["dispatches"])
             order = {"fence": 1, "kind": "load_model", "model": "m2", "version": "2"}
             _, content = await client.call("POST", "/v1/orders", order)
             assert content == {"state": "loading"}
-            refused = await client.call("POST", "/v1/streams/b", ask(1))
+            refused = await client.call("POST", "/v1/streams/b", new_body(1))
             assert refused == (503, {"code": "loading"})
             await client.call("POST", "/control/hang", {"on": False})
-            assert done((await post)[1])["count"] == 5
-            await store.until("/control/weights", lambda log: log["transfers"])
-            assert (await client.call("POST", "/v1/streams/b", ask(1)))[0] == 503
+            assert done_event((await post)[1])["count"] == 5
+            await store.wait_until("/control/weights", lambda log: log["transfers"])
+            assert (await client.call("POST", "/v1/streams/b", new_body(1)))[0] == 503
             await store.call("POST", "/control/weights", {"refuse": False})
-            await client.until("/v1/load", lambda load: load["model"] == "m2")
+            await client.wait_until("/v1/load", lambda load: load["model"] == "m2")
             _, log = await store.call("GET", "/control/weights")
             statuses = [one["status"] for one in log["transfers"]]
             assert statuses == [429] * (len(statuses) - 1) + [200]
             old = await client.call(
-                "POST", "/v1/streams/c", ask(1, model=settings.model)
+                "POST", "/v1/streams/c", new_body(1, model=settings.model)
             )
             assert old[0] == 400
-            new = await client.call("POST", "/v1/streams/d", ask(1, model="m2"))
+            new = await client.call("POST", "/v1/streams/d", new_body(1, model="m2"))
             assert new[0] == 200
 
     asyncio.run(scenario())
@@ -380,7 +389,7 @@
     asyncio.run(scenario())
 
 
-def test_config_watch_stale_and_down():
+def test_config_watch_returns_changes_and_faults():
     async def scenario() -> None:
         stand_in = platform.Platform(platform_settings.PlatformSettings())
         async with serve(stand_in) as client:
@@ -388,7 +397,7 @@
             watch = asyncio.create_task(
                 client.call("GET", "/v1/config?after=0&wait=15")
             )
-            await client.until("/control/calls", lambda calls: calls["calls"] == 2)
+            await client.wait_until("/control/calls", lambda calls: calls["calls"] == 2)
             await client.call("PUT", "/control/config", text="one")
             assert await watch == (200, {"revision": 1, "text": "one"})
             large = "é" * 500_000
@@ -404,7 +413,7 @@
     asyncio.run(scenario())
 
 
-def test_config_budget():
+def test_config_call_over_budget_is_refused():
     async def scenario() -> None:
         settings = platform_settings.PlatformSettings(config_calls=2)
         async with serve(platform.Platform(settings)) as client:
@@ -418,7 +427,7 @@
     asyncio.run(scenario())
 
 
-def test_instance_list_follows_its_orders():
+def test_instance_list_shows_added_and_removed_entries():
     async def scenario() -> None:
         settings = platform_settings.PlatformSettings(instances_lag_ms=20)
         entry = {
@@ -431,10 +440,12 @@
         }
         async with serve(platform.Platform(settings)) as client:
             await client.call("PUT", "/control/instances", entry)
-            listed = {"instances": [entry]}
-            await client.until("/v1/instances", lambda content: content == listed)
+            expected = {"instances": [entry]}
+            await client.wait_until(
+                "/v1/instances", lambda content: content == expected
+            )
             await client.call("DELETE", "/control/instances/cq-1")
             empty: dict[str, list[str]] = {"instances": []}
-            await client.until("/v1/instances", lambda content: content == empty)
+            await client.wait_until("/v1/instances", lambda content: content == empty)
 
     asyncio.run(scenario())
