--- a/packages/dev/cassiaquay_dev/trials/__init__.py
+++ b/packages/dev/cassiaquay_dev/trials/__init__.py
@@ -1,1 +1,1 @@
-"""Load, measurement and history checks of real daemons against stand-ins."""
+"""Load generation, benchmarks and history checks for daemons with stand-in backends."""
--- a/packages/dev/cassiaquay_dev/trials/bench.py
+++ b/packages/dev/cassiaquay_dev/trials/bench.py
@@ -1,10 +1,10 @@
-"""``make bench``: policies compared on the same arrivals, and the data path's cost.
+"""``make bench``: compare policies on the same arrivals; measure the data path's cost.
 
 Run as ``python -m cassiaquay_dev.trials.bench [WHAT] [--FLAG=VALUE ...]``. ``WHAT`` is
 
-- ``compare`` (the default): policies paired on seeded workloads, loads and faults
-- ``path``: what one daemon relays on one core
-- ``names``: what is registered
+- ``compare`` (the default): compare policies on seeded workloads, loads and faults
+- ``path``: measure the throughput and overhead of one daemon on one core
+- ``names``: list the registered names
 """
 
 import asyncio
@@ -22,12 +22,12 @@
 from .. import deployments
 from . import bench_path, bench_report, bench_runs, bench_workloads, faults
 
-# Registers the policies that a daemon knows.
+# Importing the keeper registers the daemon's policies.
 importlib.import_module("cassiaquay_daemon.keepers.keeper")
 
 experiments: registry.Registry[typing.Any] = registry.Registry("experiment")
 
-FOLDER = "build/bench"
+RESULTS_FOLDER = "build/bench"
 POLICIES = (
     "tiered",
     "round-robin",
@@ -49,35 +49,35 @@
     seconds: float = 12.0,
     scale: float = 2.0,
     daemons: int = 3,
-    out: str = FOLDER,
+    out: str = RESULTS_FOLDER,
 ) -> None:
     """Run policies on the same arrivals; write a table, plots and JSON.
 
     Parameters
     ----------
     deployment, workload, fault : str
-        Registered names; the workload named after the deployment when left out.
+        Registered names; an empty workload selects the deployment's default.
     loads : float or list of float
-        Multiples of the computed capacity.
+        Offered loads as multiples of the computed capacity.
     choose : str or list of str
-        Registered policies; the first is compared to the others.
+        Registered policies; the first is the baseline of the comparison.
     seeds, first_seed : int
-        How many runs of each, and the seed of the first.
+        Number of runs of each policy, and the seed of the first run.
     seconds : float
         Time over which requests arrive.
     scale : float
-        How much slower engines are than in the deployment.
+        Factor by which engines are slower than in the deployment.
     daemons : int
-        Instances.
+        Number of instances.
     out : str
         Folder for the results.
     """
-    names = _listed(choose)
+    names = _as_list(choose)
     for name in names:
         policies.policies.get(name)
     folder = pathlib.Path(out)
     folder.mkdir(parents=True, exist_ok=True)
-    for load in _listed(loads):
+    for load in _as_list(loads):
         plan = bench_runs.Plan(
             deployment,
             workload or bench_runs.default_workload(deployment),
@@ -89,7 +89,7 @@
         )
         runs = []
         for seed in range(first_seed, first_seed + seeds):
-            # Interleaved: a change of the machine's load strikes all policies.
+            # Interleaved, so that changes in the machine's load affect all policies.
             for name in names:
                 run = uvloop.run(bench_runs.run(plan, name, seed))
                 print(bench_report.line(run), flush=True)
@@ -99,13 +99,13 @@
 
 @experiments.register("path")
 def path(**options: typing.Any) -> None:
-    """Measure what one daemon relays on one core."""
+    """Measure the throughput and overhead of one daemon on one core."""
     print(asyncio.run(bench_path.measure(bench_path.PathSettings(**options))))
 
 
 @experiments.register("names")
 def names() -> None:
-    """Print what is registered."""
+    """Print all registered names."""
     print("experiments:", *experiments.names())
     print("deployments:", *deployments.deployments.names())
     print("workloads:", *bench_workloads.registered.names())
@@ -113,15 +113,15 @@
     print("policies:", *policies.policies.names())
 
 
-def _listed(value: typing.Any) -> list[typing.Any]:
-    # The command line gives "a-b,c" as one text, but "1,2" as a tuple.
+def _as_list(value: typing.Any) -> list[typing.Any]:
+    # Fire passes "a-b,c" as one string, but "1,2" as a tuple.
     if isinstance(value, str):
         return value.split(",")
     return list(value) if isinstance(value, list | tuple) else [value]
 
 
 def main(what: str = "compare", **options: typing.Any) -> None:
-    """Run one experiment."""
+    """Run the experiment ``what``."""
     experiments.get(what)(**options)
 
 
--- a/packages/dev/cassiaquay_dev/trials/bench_cluster.py
+++ b/packages/dev/cassiaquay_dev/trials/bench_cluster.py
@@ -1,4 +1,4 @@
-"""The cluster of a bench run: scaled engines, few processes, figures of their use."""
+"""The cluster of a bench run: slowed engines, few processes, processor accounting."""
 
 import json
 import os
@@ -9,15 +9,15 @@
 from ..network import processes
 from . import bounds
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PROCESSOR_FIELDS = (11, 12)
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+PROCESSOR_TIME_FIELDS = (11, 12)
 
 
 def scaled(deployment: deployments.Deployment, scale: float) -> deployments.Deployment:
     """Return a deployment whose engines are ``scale`` times slower.
 
-    The engines' virtual speed has to be the limit of a run, not the processors of
-    the machine that it runs on.
+    The engines' simulated speed has to limit a run, not the processors of the machine
+    that it runs on.
     """
     engines = []
     for engine in deployment.engines:
@@ -31,32 +31,35 @@
 
 
 def processor_seconds(pid: int) -> float:
-    """Return the processor time of a process, user and system; 0 once it is gone."""
+    """Return the user and system time of a process in seconds; 0 if it has ended."""
     try:
         text = pathlib.Path(f"/proc/{pid}/stat").read_text()
     except OSError:
         return 0.0
     fields = text.rpartition(")")[2].split()
-    return sum(int(fields[index]) for index in PROCESSOR_FIELDS) / TICKS
+    return (
+        sum(int(fields[index]) for index in PROCESSOR_TIME_FIELDS)
+        / CLOCK_TICKS_PER_SECOND
+    )
 
 
 class BenchCluster(cluster.Cluster):
-    """A cluster whose engines share processes; the first one has its own.
+    """A cluster in which the first engine has its own process and the others share one.
 
     Parameters
     ----------
     deployment : Deployment
-        Already scaled.
+        The deployment, already scaled.
     daemons : int
         Number of instances.
     folder : Path
-        Where settings and logs go.
+        Folder for settings and logs.
     policy : str
-        Policy of the keepers.
+        Registered policy of the keepers, which admit requests to shards.
     scale : float
-        By which the engines are scaled.
+        Factor by which the engines are slowed.
     engine_settings : dict
-        Settings of all engines that differ from the defaults.
+        Settings that override the engines' defaults.
     """
 
     def __init__(
@@ -73,7 +76,7 @@
         self._engine_settings = engine_settings
 
     def processor_seconds(self) -> dict[str, float]:
-        """Return the processor time so far by the name of the process."""
+        """Return the processor time so far of each live process, by name."""
         found = {}
         for name, process in (self.standins | self.daemons).items():
             if process.returncode is None:
@@ -81,17 +84,17 @@
         return found
 
     async def kill_first_engine(self) -> None:
-        """End the first engine's process at once."""
+        """Kill the first engine's process."""
         await self.standins["engines-0"].kill()
 
     async def kill_daemon(self) -> None:
-        """End the last daemon at once."""
+        """Kill the last daemon."""
         await self.daemons[list(self.daemons)[-1]].kill()
 
     async def engine_state(
         self, engine: str, path: str
     ) -> dict[str, typing.Any] | None:
-        """Return a control answer of an engine; None when it is gone."""
+        """Return the response of an engine's control path, or None if it has ended."""
         if engine == self.deployment.engines[0].name:
             if self.standins["engines-0"].returncode is not None:
                 return None
--- a/packages/dev/cassiaquay_dev/trials/bench_driver.py
+++ b/packages/dev/cassiaquay_dev/trials/bench_driver.py
@@ -1,4 +1,4 @@
-"""Sends a workload by streams and notes the time of each event."""
+"""Send a workload as streams and record the time of each event."""
 
 import asyncio
 import contextvars
@@ -10,11 +10,11 @@
 from ..standins import texts
 from . import driver, workloads
 
-REPEAT_PAUSE = 0.2
+RETRY_DELAY_SECONDS = 0.2
 
 
 class Record:
-    """What became of one arrival; times in seconds from the arrival's planned time.
+    """Result of one arrival; times in seconds from the arrival's planned time.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
         self.outcome = ""
         self.code = ""
         self.request_id = ""
-        self.asked = 0
+        self.attempts = 0
         self.seconds = 0.0
         self.first_seconds = 0.0
         self.gaps: list[float] = []
@@ -35,12 +35,12 @@
 
     @property
     def key(self) -> str:
-        """Id under which the engine knows it."""
+        """Id of the request in the engine's log."""
         return f"{self.request_id}~{self.arrival.team.name}"
 
     @property
-    def correct(self) -> bool:
-        """Whether the answer is what the engine made for this very request."""
+    def is_correct(self) -> bool:
+        """Whether the answer is the one that the engine generates for this request."""
         if self.outcome != "completed":
             return False
         if self.arrival.path:
@@ -49,29 +49,29 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the whole correct answer came before the deadline."""
-        return self.seconds <= self.arrival.deadline and self.correct
+        """Whether the complete, correct answer arrived before the deadline."""
+        return self.seconds <= self.arrival.deadline and self.is_correct
 
 
 _current: contextvars.ContextVar[Record] = contextvars.ContextVar("record")
 
 
-def _note_attempt(attempt: hooks.Attempt) -> None:
-    # Hooks run in the task that reads the stream.
+def _record_attempt(attempt: hooks.Attempt) -> None:
+    # Hooks run in the task that reads the stream, so the context variable is its own.
     _current.get().request_id = attempt.request_id
 
 
 class StreamDriver:
-    """Sends arrivals at their times, one session for each team.
+    """Sends arrivals at their planned times, with one session per team.
 
     Parameters
     ----------
     seeds : list of str
-        Addresses of instances to start from.
+        Addresses of the instances that sessions contact first.
     domains : list of str
-        Failure domains that the callers are in, in turn.
+        Failure domains of the callers, assigned to sessions in rotation.
     repeats : int
-        How often an application asks again after "not run".
+        Number of times that an application repeats a call after "not run".
     """
 
     def __init__(self, seeds: list[str], domains: list[str], repeats: int = 0):
@@ -82,7 +82,7 @@
         self._sessions: dict[str, cassiaquay.Session] = {}
 
     async def run(self, arrivals: list[workloads.Arrival]) -> list[Record]:
-        """Send all arrivals; return when the last one has ended."""
+        """Send all arrivals and return their records when all have ended."""
         loop = asyncio.get_running_loop()
         start = loop.time()
         tasks = []
@@ -106,7 +106,7 @@
                     seeds=self._seeds, domain=domain, credential=team.credential
                 )
             )
-            session.hooks.register(hooks.ATTEMPT, _note_attempt)
+            session.hooks.register(hooks.ATTEMPT, _record_attempt)
             self._sessions[team.name] = session
         return self._sessions[team.name]
 
@@ -115,24 +115,24 @@
         _current.set(record)
         end = planned + record.arrival.deadline
         for _ in range(self._repeats + 1):
-            record.asked += 1
-            record.outcome, record.code = await self._ask(record, planned)
-            if record.outcome != "not_run" or loop.time() + REPEAT_PAUSE > end:
+            record.attempts += 1
+            record.outcome, record.code = await self._send_once(record, planned)
+            if record.outcome != "not_run" or loop.time() + RETRY_DELAY_SECONDS > end:
                 break
-            await asyncio.sleep(REPEAT_PAUSE)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
         record.seconds = loop.time() - planned
 
-    async def _ask(self, record: Record, planned: float) -> tuple[str, str]:
+    async def _send_once(self, record: Record, planned: float) -> tuple[str, str]:
         try:
             if record.arrival.path:
-                await self._call(record, planned)
+                await self._call_service(record, planned)
             else:
-                await self._stream(record, planned)
+                await self._read_stream(record, planned)
         except cassiaquay.exceptions.CassiaquayError as error:
             return driver.outcome_of(error), error.code
         return "completed", "completed"
 
-    async def _call(self, record: Record, planned: float) -> None:
+    async def _call_service(self, record: Record, planned: float) -> None:
         arrival = record.arrival
         left = planned + arrival.deadline - asyncio.get_running_loop().time()
         await self._session(arrival).call(
@@ -144,11 +144,11 @@
             idempotent=arrival.idempotent,
         )
 
-    async def _stream(self, record: Record, planned: float) -> None:
+    async def _read_stream(self, record: Record, planned: float) -> None:
         loop = asyncio.get_running_loop()
         arrival = record.arrival
         parts: list[str] = []
-        last = planned
+        last_at = planned
         events: typing.AsyncIterator[str] = self._session(arrival).stream(
             arrival.service,
             arrival.prompt,
@@ -162,7 +162,7 @@
             if not parts:
                 record.first_seconds = now - planned
             else:
-                record.gaps.append(now - last)
-            last = now
+                record.gaps.append(now - last_at)
+            last_at = now
             parts.append(text)
         record.text = "".join(parts)
--- a/packages/dev/cassiaquay_dev/trials/bench_metrics.py
+++ b/packages/dev/cassiaquay_dev/trials/bench_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of one bench run, from the callers' records and the engines' logs."""
+"""Metrics of one bench run, from the callers' records and the engines' logs."""
 
 import typing
 
@@ -12,16 +12,16 @@
 
 
 class EngineFigures(typing.NamedTuple):
-    """What one engine told at the end of a run.
+    """Totals and log of one engine at the end of a run.
 
     Attributes
     ----------
     name : str
-        Name.
+        Name of the engine.
     busy_seconds : float
         Time spent in steps.
     dispatches : list of Dispatch
-        Its log.
+        Log of the requests that were sent to it.
     """
 
     name: str
@@ -30,15 +30,15 @@
 
 
 class Prefill(typing.NamedTuple):
-    """Prompt tokens of a run.
+    """Prompt token counts of a run.
 
     Attributes
     ----------
     done, wasted : int
-        Read by engines, and read for a request that was not answered in time.
+        Prefilled tokens, and those of requests that were not answered in time.
     asked, cached, oracle : int
-        Of all dispatched prompts, those served from the engine's cache, and those
-        that an oracle with all caches would have served.
+        Tokens of all dispatched prompts, those found in the engine's cache, and those
+        that an oracle with the contents of all caches would have found.
     """
 
     done: int
@@ -49,25 +49,25 @@
 
     @property
     def wasted_share(self) -> float:
-        """Share of the prefill that was for nothing."""
+        """Share of the prefilled tokens that were wasted."""
         return self.wasted / max(self.done, 1)
 
     @property
     def oracle_share(self) -> float:
-        """Tokens from the cache for those of the oracle."""
+        """Tokens found in caches divided by those of the oracle."""
         return self.cached / max(self.oracle, 1)
 
 
 class Work(typing.NamedTuple):
-    """Where one engine's busy time went; shares 0 to 1.
+    """Breakdown of one engine's busy time; shares 0 to 1.
 
     Attributes
     ----------
     prefill, decode, steps : float
-        Shares of the busy time: reading prompts, the part of a step that grows with
-        the batch, and the fixed part of steps.
+        Shares of the busy time: prefill, the part of a step that grows with the
+        batch, and the fixed part of steps.
     batch : float
-        Mean number of requests that got a token in a step.
+        Mean number of requests that generated a token in a step.
     """
 
     prefill: float
@@ -77,7 +77,7 @@
 
 
 class Figures(typing.TypedDict):
-    """All figures of a run; times in milliseconds, shares 0 to 1."""
+    """All metrics of a run; times in milliseconds, shares 0 to 1."""
 
     sent: dict[str, int]
     finishable: dict[str, int]
@@ -109,11 +109,11 @@
 def prefill(
     records: list[bench_driver.Record], engines: list[EngineFigures]
 ) -> Prefill:
-    """Add up the prompt tokens of all dispatches, in the order they were made."""
+    """Count the prompt tokens of all dispatches, in order of time."""
     by_key = {record.key: record for record in records}
     useful = {record.key for record in records if record.in_time}
     logged = [line for engine in engines for line in engine.dispatches]
-    known: set[int] = set()
+    known_blocks: set[int] = set()
     done = wasted = asked = cached = oracle = 0
     for line in sorted(logged, key=lambda line: line["at"]):
         done += line["prefilled_tokens"]
@@ -122,19 +122,19 @@
         if line["state"] == engine_stream.REFUSED or line["id"] not in by_key:
             continue
         if not line["cached_tokens"] and not line["prefilled_tokens"]:
-            # Never admitted: no cache was asked.
+            # The engine never admitted it, so its cache was not looked up.
             continue
         asked += line["prompt_tokens"]
         cached += line["cached_tokens"]
         for block in blocks.block_hashes(by_key[line["id"]].arrival.prompt):
-            if block in known:
+            if block in known_blocks:
                 oracle += blocks.TOKENS_PER_BLOCK
-            known.add(block)
+            known_blocks.add(block)
     return Prefill(done, wasted, asked, cached, oracle)
 
 
 def work(engine: EngineFigures, spec: deployments.EngineSpec, decode_ms: float) -> Work:
-    """Return where an engine's busy time went, for an engine that was never slowed."""
+    """Return the breakdown of the busy time of an engine that was never slowed."""
     busy = max(engine.busy_seconds, 1e-9)
     generated = sum(line["generated_tokens"] for line in engine.dispatches)
     prefilled = sum(line["prefilled_tokens"] for line in engine.dispatches)
@@ -148,7 +148,7 @@
 def wasted_decode(
     records: list[bench_driver.Record], engines: list[EngineFigures]
 ) -> float:
-    """Return the share of generated tokens that no caller had in time."""
+    """Return the share of generated tokens of requests not answered in time."""
     useful = {record.key for record in records if record.in_time}
     total = wasted = 0
     for engine in engines:
@@ -162,10 +162,10 @@
 def missed(
     records: list[bench_driver.Record], tiers: list[str]
 ) -> dict[str, dict[str, int]]:
-    """Count by tier what was not in time, by length of the prompt and code.
+    """Count the requests not in time by tier, length of the prompt and code.
 
-    ``long`` are the requests of sessions; ``late`` is a whole answer after the
-    deadline.
+    Requests of sessions count as ``long``; the code ``late`` means a complete answer
+    after the deadline.
     """
     found: dict[str, dict[str, int]] = {tier: {} for tier in tiers}
     for record in records:
@@ -180,20 +180,20 @@
 
 
 def recovery(
-    records: list[bench_driver.Record], at: float, seconds: float, settle: float
+    records: list[bench_driver.Record], at: float, seconds: float, delay_seconds: float
 ) -> float:
-    """Return the goodput rate from ``settle`` after a fault against that before it.
+    """Return the ratio of the goodput rates after and before a fault.
 
-    By time of arrival; ``at`` is the time of the fault, ``seconds`` the end of
-    arrivals.
+    Requests count by time of arrival: before ``at``, the time of the fault, and from
+    ``delay_seconds`` after it until ``seconds``, the end of arrivals.
     """
     before = [r for r in records if r.arrival.at < at]
-    after = [r for r in records if r.arrival.at >= at + settle]
-    if not before or not after or at + settle >= seconds:
+    after = [r for r in records if r.arrival.at >= at + delay_seconds]
+    if not before or not after or at + delay_seconds >= seconds:
         return float("nan")
     rate_before = sum(1 for record in before if record.in_time) / at
     done_after = sum(1 for record in after if record.in_time)
-    rate_after = done_after / (seconds - at - settle)
+    rate_after = done_after / (seconds - at - delay_seconds)
     return rate_after / rate_before if rate_before else float("nan")
 
 
@@ -207,7 +207,7 @@
     recovery_share: float,
     processor_share: dict[str, float],
 ) -> Figures:
-    """Return the figures of a run that took ``elapsed`` seconds."""
+    """Return the metrics of a run that took ``elapsed`` seconds."""
     tiers = deployment.tiers
     sent = dict.fromkeys(tiers, 0)
     in_time = dict.fromkeys(tiers, 0)
@@ -230,7 +230,7 @@
         plain_in_time_share=_share([record.in_time for record in plain]),
         outcomes=outcomes,
         missed=missed(model, tiers),
-        wrong=sum(1 for record in done if not record.correct),
+        wrong=sum(1 for record in done if not record.is_correct),
         repeated_dispatches=len(keys) - len(set(keys)),
         bound_strict=limit.strict,
         bound_by_tier=limit.by_tier,
--- a/packages/dev/cassiaquay_dev/trials/bench_path.py
+++ b/packages/dev/cassiaquay_dev/trials/bench_path.py
@@ -1,9 +1,9 @@
-"""The data path's own cost: what one daemon process relays on one core.
+"""Measure the overhead and throughput of one daemon process on one core.
 
-The daemon is the only one, so it is owner and keeper. The same raw clients call the
-stand-in directly and by the daemon, in turn within one run, at half of the aimed rate
-and at the aimed rate, and at last the daemon alone with more than it can relay. In
-that last phase several events arrive in one read, so that each costs less.
+The single daemon is both owner and keeper. The same raw clients call the stand-in
+directly and through the daemon, alternating within one run, at half the target rate
+and at the target rate. The last phase sends the daemon more than it can relay; there
+several events arrive in one read, which lowers the cost of each.
 """
 
 import asyncio
@@ -20,11 +20,11 @@
 from ..network import processes
 from . import bench_cluster, path_client
 
-CLIENTS = 2
-WARM_UP = 1.0
-OPENING_SECONDS = 1.5
-SPREAD = 1.0
-LONGEST_SECONDS = 60.0
+CLIENT_PROCESSES = 2
+WARM_UP_SECONDS = 1.0
+SHARD_OPENING_SECONDS = 1.5
+START_SPREAD_SECONDS = 1.0
+CLIENT_TIMEOUT_SECONDS = 60.0
 
 
 class PathSettings(typing.NamedTuple):
@@ -33,21 +33,21 @@
     Attributes
     ----------
     seconds : float
-        Length of each measured phase.
+        Duration of each measured phase.
     rounds : int
-        Times that each phase is measured.
+        Number of times that each phase is measured.
     aim : int
-        Tokens a second that a daemon should relay; half of it is the half load.
+        Target rate in tokens per second.
     streams : int
-        Streams open at a time in the phase of full load.
+        Concurrent streams in the phase of full load.
     interval_ms : float
-        Time between two events of a stream.
+        Time between events of a stream.
     tokens : int
         Mean number of events of an answer.
     prompt : int
-        Characters of each prompt.
+        Length of each prompt in characters.
     policy : str
-        Policy of the keeper; the default bounds nothing.
+        Policy of the keeper; the default imposes no limit on admission.
     """
 
     seconds: float = 4.0
@@ -66,13 +66,13 @@
     Attributes
     ----------
     tokens_per_second, requests_per_second : float
-        As clients got them.
+        Rates received by the clients.
     first_p50, first_p99 : float
         Time to the first event.
     processor_share : float
-        Of one core, by the daemon.
+        Processor time of the daemon as a share of one core.
     refused : int
-        Answers that were refused; 0 in a valid phase.
+        Number of refused requests; 0 in a valid phase.
     """
 
     tokens_per_second: float
@@ -84,12 +84,12 @@
 
     @property
     def microseconds_per_token(self) -> float:
-        """Processor time of the daemon for each event."""
+        """Processor time of the daemon per event."""
         return self.processor_share * 1e6 / max(self.tokens_per_second, 1e-9)
 
 
 class PathCluster(cluster.Cluster):
-    """One daemon before one fast stand-in."""
+    """A cluster of one daemon and one fast engine stand-in."""
 
     def __init__(self, settings: PathSettings, folder: pathlib.Path):
         base = deployments.deployments.get("brindley")
@@ -108,30 +108,36 @@
         flags = [f"--interval_ms={self._path_settings.interval_ms}"]
         name = self.deployment.engines[0].name
         process = await self._standin(name, flags, "fast_engine")
-        line = next(one for one in process.lines() if one.startswith("ready "))
+        line = next(
+            through_daemon
+            for through_daemon in process.lines()
+            if through_daemon.startswith("ready ")
+        )
         self.addresses[name] = line.partition("=")[2]
 
 
 class _Measurement:
-    """The phases of one run."""
+    """Runs the client processes of each phase against a cluster."""
 
     def __init__(
-        self, settings: PathSettings, started: PathCluster, folder: pathlib.Path
+        self, settings: PathSettings, running_cluster: PathCluster, folder: pathlib.Path
     ):
         self._settings = settings
-        self._started = started
+        self._cluster = running_cluster
         self._folder = folder
         self._phases = 0
 
     async def phase(self, streams: int, direct: bool) -> Phase:
-        """Measure one phase."""
-        target = await self._target(direct)
+        """Measure one phase, through the daemon or ``direct`` to the stand-in."""
+        target = await self._client_settings(direct)
         clients = []
-        for number in range(CLIENTS):
+        for number in range(CLIENT_PROCESSES):
             name = f"client-{self._phases}-{number}"
-            mine = target._replace(streams=max(streams // CLIENTS, 1))
+            client_settings = target._replace(
+                streams=max(streams // CLIENT_PROCESSES, 1)
+            )
             path = self._folder / f"{name}.json"
-            path.write_text(json.dumps(mine._asdict()))
+            path.write_text(json.dumps(client_settings._asdict()))
             arguments = ["-m", "cassiaquay_dev.trials.path_client"]
             arguments += [f"--config={path}", f"--name={name}"]
             clients.append(processes.Process(name, arguments, self._folder))
@@ -152,35 +158,35 @@
     async def _run(
         self, clients: list[processes.Process]
     ) -> tuple[list[path_client.ClientResult], float]:
-        daemon = self._started.daemons["cq-1"].pid
+        daemon = self._cluster.daemons["cq-1"].pid
         for client in clients:
             await client.start()
-        # The share is taken over the middle of the measured time, clear of its ends.
-        await asyncio.sleep(SPREAD + WARM_UP + 1.0)
+        # Measured over the middle of the phase, to exclude its start and end.
+        await asyncio.sleep(START_SPREAD_SECONDS + WARM_UP_SECONDS + 1.0)
         before = bench_cluster.processor_seconds(daemon)
         start = time.monotonic()
         await asyncio.sleep(max(self._settings.seconds - 1.5, 0.5))
         spent = bench_cluster.processor_seconds(daemon) - before
         share = spent / (time.monotonic() - start)
-        end = time.monotonic() + LONGEST_SECONDS
+        end = time.monotonic() + CLIENT_TIMEOUT_SECONDS
         while any(client.returncode is None for client in clients):
             if time.monotonic() > end:
                 raise processes.StartFault("a client does not end")
             await asyncio.sleep(processes.POLL_SECONDS)
         return [json.loads(client.lines()[-1]) for client in clients], share
 
-    async def _target(self, direct: bool) -> path_client.ClientSettings:
+    async def _client_settings(self, direct: bool) -> path_client.ClientSettings:
         settings = self._settings
-        deployment = self._started.deployment
+        deployment = self._cluster.deployment
         body: dict[str, object] = {"prompt": "p" * settings.prompt}
         if direct:
-            address = self._started.addresses[deployment.engines[0].name]
+            address = self._cluster.addresses[deployment.engines[0].name]
             path = "/v1/streams/"
         else:
             body["service"] = deployment.model_service
-            address = self._started.seeds[0]
+            address = self._cluster.seeds[0]
             url = f"http://{address}/v1/addresses"
-            async with self._started.http.get(url) as response:
+            async with self._cluster.http.get(url) as response:
                 token = (await response.json())["addresses"][0]["token"]
             path = f"/v1/requests/{token}~"
         return path_client.ClientSettings(
@@ -190,40 +196,40 @@
             body,
             settings.tokens,
             0,
-            SPREAD,
-            WARM_UP,
+            START_SPREAD_SECONDS,
+            WARM_UP_SECONDS,
             settings.seconds,
         )
 
 
 async def measure(settings: PathSettings) -> str:
-    """Return a table of the phases: by rate, beside the stand-in alone, and in full."""
+    """Measure all phases and return their table."""
     phases: dict[str, list[Phase]] = {}
     with tempfile.TemporaryDirectory(prefix="cassiaquay-path-") as name:
         folder = pathlib.Path(name)
-        started = PathCluster(settings, folder)
+        running_cluster = PathCluster(settings, folder)
         try:
-            await started.start()
-            await asyncio.sleep(OPENING_SECONDS)
-            measurement = _Measurement(settings, started, folder)
-            # The keeper opens its shard a while after the first request.
-            await measurement.phase(CLIENTS, direct=False)
+            await running_cluster.start()
+            await asyncio.sleep(SHARD_OPENING_SECONDS)
+            measurement = _Measurement(settings, running_cluster, folder)
+            # Warm-up: the keeper opens its shard only after the first request.
+            await measurement.phase(CLIENT_PROCESSES, direct=False)
             for _ in range(settings.rounds):
                 for rate in (settings.aim // 2, settings.aim):
                     streams = int(rate * settings.interval_ms / 1000.0)
                     for direct in (True, False):
                         phase = await measurement.phase(streams, direct)
-                        way = "direct" if direct else "daemon"
-                        phases.setdefault(f"{way} {rate}/s", []).append(phase)
+                        target_name = "direct" if direct else "daemon"
+                        phases.setdefault(f"{target_name} {rate}/s", []).append(phase)
                 phase = await measurement.phase(settings.streams, direct=False)
                 phases.setdefault("daemon full", []).append(phase)
         finally:
-            await started.stop()
+            await running_cluster.stop()
     return table(settings, phases)
 
 
 def table(settings: PathSettings, phases: dict[str, list[Phase]]) -> str:
-    """Return medians over the rounds, and what the daemon adds to the first event."""
+    """Return medians over the rounds, and the latency that the daemon adds."""
     columns = [*Phase._fields, "us per token"]
     lines = ["| offered | " + " | ".join(columns) + " |"]
     lines.append("|---" * (len(columns) + 1) + "|")
@@ -239,7 +245,10 @@
     )
     lines.append("")
     for column in ("first_p50", "first_p99"):
-        added = [getattr(one, column) - getattr(two, column) for one, two in pairs]
+        added = [
+            getattr(through_daemon, column) - getattr(without_daemon, column)
+            for through_daemon, without_daemon in pairs
+        ]
         lines.append(
             f"added to {column} at {half} tokens/s: {statistics.median(added):.2f} ms"
             f" (each round: {', '.join(f'{value:.2f}' for value in added)})"
--- a/packages/dev/cassiaquay_dev/trials/bench_report.py
+++ b/packages/dev/cassiaquay_dev/trials/bench_report.py
@@ -1,4 +1,4 @@
-"""Tables, plots and JSON of the bench."""
+"""Write tables, plots and JSON of bench results."""
 
 import json
 import pathlib
@@ -9,7 +9,7 @@
 
 matplotlib.use("Agg")
 
-from matplotlib import pyplot  # the backend goes first
+from matplotlib import pyplot  # after the backend is set
 
 from . import bench_metrics, bench_runs
 
@@ -31,7 +31,7 @@
 
 
 def summary(run: bench_runs.Run) -> dict[str, float]:
-    """Return the columns of one run."""
+    """Return the table columns of one run."""
     figures = run["figures"]
     top = next(iter(figures["sent"]))
     busy = figures["busy_share"].values()
@@ -76,58 +76,72 @@
 
 def table(plan: bench_runs.Plan, runs: list[bench_runs.Run]) -> str:
     """Return the comparison as Markdown: mean and standard deviation over seeds."""
-    found = _by_policy(runs)
-    first = next(iter(found))
-    seeds = len(found[first])
+    runs_by_policy = _by_policy(runs)
+    baseline = next(iter(runs_by_policy))
+    seeds = len(runs_by_policy[baseline])
     lines = [
         f"{plan.deployment}, {plan.workload}, {plan.load:g} x capacity "
         f"({runs[0]['rate']:.1f} requests/s), fault {plan.fault}, {seeds} seeds",
         "",
-        "| policy | " + " | ".join(COLUMNS) + f" | goodput of {first} / its |",
+        "| policy | " + " | ".join(COLUMNS) + f" | goodput of {baseline} / its |",
         "|---" * (len(COLUMNS) + 2) + "|",
     ]
-    for name, mine in found.items():
+    for name, policy_runs in runs_by_policy.items():
         cells = []
         for column in COLUMNS:
-            cells.append(_spread([summary(run)[column] for run in mine]))
-        pairs = zip(found[first], mine, strict=True)
-        ratios = [_ratio(one, other) for one, other in pairs]
-        lines.append(f"| {name} | " + " | ".join(cells) + f" | {_spread(ratios)} |")
-    lines += ["", *_work_lines(found)]
+            cells.append(
+                _mean_and_deviation([summary(run)[column] for run in policy_runs])
+            )
+        pairs = zip(runs_by_policy[baseline], policy_runs, strict=True)
+        ratios = [_goodput_ratio(one, other) for one, other in pairs]
+        lines.append(
+            f"| {name} | " + " | ".join(cells) + f" | {_mean_and_deviation(ratios)} |"
+        )
+    lines += ["", *_work_lines(runs_by_policy)]
     lines += ["", "| policy | " + " | ".join(_tiers(runs)) + " |"]
     lines.append("|---" * (len(_tiers(runs)) + 1) + "|")
-    for name, mine in found.items():
-        cells = [_spread(_tier_shares(mine, tier)) for tier in _tiers(runs)]
+    for name, policy_runs in runs_by_policy.items():
+        cells = [
+            _mean_and_deviation(_tier_shares(policy_runs, tier))
+            for tier in _tiers(runs)
+        ]
         lines.append(f"| {name} in time | " + " | ".join(cells) + " |")
-    cells = [_spread(_bound_shares(found[first], tier)) for tier in _tiers(runs)]
+    cells = [
+        _mean_and_deviation(_bound_shares(runs_by_policy[baseline], tier))
+        for tier in _tiers(runs)
+    ]
     lines.append("| strict bound | " + " | ".join(cells) + " |")
     top = _tiers(runs)[0]
     lines.append("")
-    for name, mine in found.items():
+    for name, policy_runs in runs_by_policy.items():
         counts: dict[str, int] = {}
-        for run in mine:
+        for run in policy_runs:
             for reason, count in run["figures"]["missed"][top].items():
                 counts[reason] = counts.get(reason, 0) + count
         ordered = sorted(counts.items(), key=lambda item: -item[1])
-        told = ", ".join(f"{reason} {count}" for reason, count in ordered)
-        lines.append(f"{name}, missed in the top tier over all seeds: {told or 'none'}")
+        reasons = ", ".join(f"{reason} {count}" for reason, count in ordered)
+        lines.append(
+            f"{name}, missed in the top tier over all seeds: {reasons or 'none'}"
+        )
     return "\n".join(lines)
 
 
-def _work_lines(found: dict[str, list[bench_runs.Run]]) -> list[str]:
-    """Return a table of where the engines' time went, over engines and seeds."""
+def _work_lines(runs_by_policy: dict[str, list[bench_runs.Run]]) -> list[str]:
+    """Return a table of busy time by kind of work, averaged over engines and seeds."""
     lines = ["| policy | prefill | decode | steps | batch | wasted decode |"]
     lines.append("|---" * 6 + "|")
-    for name, mine in found.items():
+    for name, policy_runs in runs_by_policy.items():
         cells = []
         for field in bench_metrics.Work._fields:
             values = []
-            for run in mine:
+            for run in policy_runs:
                 works = run["figures"]["work"].values()
                 values.append(statistics.fmean(getattr(one, field) for one in works))
-            cells.append(_spread(values))
-        wasted = [run["figures"]["wasted_decode_share"] for run in mine]
-        lines.append(f"| {name} | " + " | ".join([*cells, _spread(wasted)]) + " |")
+            cells.append(_mean_and_deviation(values))
+        wasted = [run["figures"]["wasted_decode_share"] for run in policy_runs]
+        lines.append(
+            f"| {name} | " + " | ".join([*cells, _mean_and_deviation(wasted)]) + " |"
+        )
     return lines
 
 
@@ -147,16 +161,19 @@
 def _plot(
     plan: bench_runs.Plan, runs: list[bench_runs.Run], path: pathlib.Path
 ) -> None:
-    found = _by_policy(runs)
+    runs_by_policy = _by_policy(runs)
     figure, axes = pyplot.subplots(2, 3, figsize=(16, 9))
     panels: list[typing.Any] = list(axes.flat)
-    _plot_tiers(panels[0], found, _tiers(runs))
+    _plot_tiers(panels[0], runs_by_policy, _tiers(runs))
     simple = ("wasted", "first p99 ms", "gap p99 ms", "Jain", "busy")
     for panel, column in zip(panels[1:], simple, strict=True):
-        values = [[summary(run)[column] for run in mine] for mine in found.values()]
+        values = [
+            [summary(run)[column] for run in policy_runs]
+            for policy_runs in runs_by_policy.values()
+        ]
         means = [statistics.fmean(value) for value in values]
         errors = [_deviation(value) for value in values]
-        panel.bar(list(found), means, yerr=errors)
+        panel.bar(list(runs_by_policy), means, yerr=errors)
         panel.set_title(column)
         panel.tick_params(axis="x", rotation=20)
     figure.suptitle(f"{plan.workload}, {plan.load:g} x capacity, fault {plan.fault}")
@@ -166,18 +183,18 @@
 
 
 def _plot_tiers(
-    panel: typing.Any, found: dict[str, list[bench_runs.Run]], tiers: list[str]
+    panel: typing.Any, runs_by_policy: dict[str, list[bench_runs.Run]], tiers: list[str]
 ) -> None:
-    base = [0.0] * len(found)
+    base = [0.0] * len(runs_by_policy)
     for tier in tiers:
         means = []
-        for mine in found.values():
-            counts = [run["figures"]["in_time"][tier] for run in mine]
+        for policy_runs in runs_by_policy.values():
+            counts = [run["figures"]["in_time"][tier] for run in policy_runs]
             means.append(statistics.fmean(counts))
-        panel.bar(list(found), means, bottom=base, label=tier)
+        panel.bar(list(runs_by_policy), means, bottom=base, label=tier)
         base = [one + other for one, other in zip(base, means, strict=True)]
-    first = next(iter(found.values()))
-    limit = statistics.fmean(run["figures"]["bound_strict"] for run in first)
+    baseline = next(iter(runs_by_policy.values()))
+    limit = statistics.fmean(run["figures"]["bound_strict"] for run in baseline)
     panel.axhline(limit, linestyle="--", color="black", label="strict bound")
     panel.set_title("goodput by tier")
     panel.tick_params(axis="x", rotation=20)
@@ -185,10 +202,10 @@
 
 
 def _by_policy(runs: list[bench_runs.Run]) -> dict[str, list[bench_runs.Run]]:
-    found: dict[str, list[bench_runs.Run]] = {}
+    runs_by_policy: dict[str, list[bench_runs.Run]] = {}
     for run in runs:
-        found.setdefault(run["policy"], []).append(run)
-    return found
+        runs_by_policy.setdefault(run["policy"], []).append(run)
+    return runs_by_policy
 
 
 def _tiers(runs: list[bench_runs.Run]) -> list[str]:
@@ -211,11 +228,11 @@
     return shares
 
 
-def _ratio(one: bench_runs.Run, other: bench_runs.Run) -> float:
+def _goodput_ratio(one: bench_runs.Run, other: bench_runs.Run) -> float:
     return one["figures"]["goodput"] / max(other["figures"]["goodput"], 1)
 
 
-def _spread(values: list[float]) -> str:
+def _mean_and_deviation(values: list[float]) -> str:
     return f"{statistics.fmean(values):.3g} ± {_deviation(values):.2g}"
 
 
--- a/packages/dev/cassiaquay_dev/trials/bench_runs.py
+++ b/packages/dev/cassiaquay_dev/trials/bench_runs.py
@@ -1,4 +1,4 @@
-"""One run of the bench: a cluster, a workload, a fault, a policy, a seed."""
+"""Execute one bench run: one policy and seed on a cluster, a workload and a fault."""
 
 import asyncio
 import pathlib
@@ -18,28 +18,28 @@
 )
 
 CAPACITY_SEED = 0
-SETTLE_SECONDS = 5.0
-# Owners tell a new keeper of what is out before it grants.
-OPENING_SECONDS = 1.5
+RECOVERY_SECONDS = 5.0
+# A new keeper grants only after owners have reported their outstanding requests.
+SHARD_OPENING_SECONDS = 1.5
 
 
 class Plan(typing.NamedTuple):
-    """What is run; names are those of the registries.
+    """Parameters of a run; names are registered names.
 
     Attributes
     ----------
     deployment, workload : str
-        Names.
+        Names of the deployment and the workload.
     load : float
-        Multiple of the computed capacity.
+        Offered load as a multiple of the computed capacity.
     fault : str
-        Name.
+        Name of the fault schedule.
     seconds : float
         Time over which requests arrive.
     scale : float
-        How much slower engines are than in the deployment.
+        Factor by which engines are slower than in the deployment.
     daemons : int
-        Instances.
+        Number of instances.
     """
 
     deployment: str
@@ -52,7 +52,7 @@
 
 
 class Run(typing.TypedDict):
-    """One run and its figures."""
+    """One run and its metrics."""
 
     policy: str
     seed: int
@@ -69,7 +69,7 @@
 
 
 def arrivals_of(plan: Plan, seed: int) -> tuple[list[workloads.Arrival], float]:
-    """Return the arrivals of a run and their rate outside bursts."""
+    """Return the arrivals of a run and the rate outside bursts."""
     deployment = scaled_deployment(plan)
     workload = bench_workloads.registered.get(plan.workload)
 
@@ -86,7 +86,7 @@
 
 
 def scaled_deployment(plan: Plan) -> deployments.Deployment:
-    """Return the deployment as it runs."""
+    """Return the deployment with slowed engines."""
     named = deployments.deployments.get(plan.deployment)
     return bench_cluster.scaled(named, plan.scale)
 
@@ -117,7 +117,7 @@
     fault = faults.faults.get(plan.fault)
     arrivals, rate = arrivals_of(plan, seed)
     with tempfile.TemporaryDirectory(prefix="cassiaquay-bench-") as folder:
-        started = bench_cluster.BenchCluster(
+        running_cluster = bench_cluster.BenchCluster(
             deployment,
             plan.daemons,
             pathlib.Path(folder),
@@ -126,26 +126,28 @@
             fault.engine_settings,
         )
         try:
-            await started.start()
-            await asyncio.sleep(OPENING_SECONDS)
-            sender = bench_driver.StreamDriver(
-                started.seeds, deployment.domains, workload.repeats
+            await running_cluster.start()
+            await asyncio.sleep(SHARD_OPENING_SECONDS)
+            stream_driver = bench_driver.StreamDriver(
+                running_cluster.seeds, deployment.domains, workload.repeats
             )
-            before = started.processor_seconds()
+            processor_before = running_cluster.processor_seconds()
             own_before = time.process_time()
             start = time.monotonic()
-            acting = asyncio.create_task(_act(fault, started, plan.seconds))
-            records = await sender.run(arrivals)
+            fault_task = asyncio.create_task(
+                _run_fault(fault, running_cluster, plan.seconds)
+            )
+            records = await stream_driver.run(arrivals)
             elapsed = time.monotonic() - start
-            await acting
+            await fault_task
             shares = {"driver": (time.process_time() - own_before) / elapsed}
-            for name, spent in started.processor_seconds().items():
-                shares[name] = (spent - before.get(name, 0.0)) / elapsed
-            engines = await _engines(started)
+            for name, spent in running_cluster.processor_seconds().items():
+                shares[name] = (spent - processor_before.get(name, 0.0)) / elapsed
+            engines = await _engine_figures(running_cluster)
         finally:
-            await started.stop()
+            await running_cluster.stop()
     recovery = bench_metrics.recovery(
-        records, plan.seconds / 3, plan.seconds, SETTLE_SECONDS
+        records, plan.seconds / 3, plan.seconds, RECOVERY_SECONDS
     )
     figures = bench_metrics.figures(
         records,
@@ -160,19 +162,19 @@
     return Run(policy=policy, seed=seed, rate=rate, figures=figures)
 
 
-async def _act(
-    fault: faults.Fault, started: bench_cluster.BenchCluster, seconds: float
+async def _run_fault(
+    fault: faults.Fault, running_cluster: bench_cluster.BenchCluster, seconds: float
 ) -> None:
-    await fault.act(started, seconds)
+    await fault.act(running_cluster, seconds)
 
 
-async def _engines(
-    started: bench_cluster.BenchCluster,
+async def _engine_figures(
+    running_cluster: bench_cluster.BenchCluster,
 ) -> list[bench_metrics.EngineFigures]:
     found = []
-    for engine in started.deployment.engines:
-        totals = await started.engine_state(engine.name, "/control/totals")
-        log = await started.engine_state(engine.name, "/control/log")
+    for engine in running_cluster.deployment.engines:
+        totals = await running_cluster.engine_state(engine.name, "/control/totals")
+        log = await running_cluster.engine_state(engine.name, "/control/log")
         if totals is None or log is None:
             continue
         found.append(
--- a/packages/dev/cassiaquay_dev/trials/bench_workloads.py
+++ b/packages/dev/cassiaquay_dev/trials/bench_workloads.py
@@ -1,4 +1,4 @@
-"""Named, seeded workloads of the bench: who asks what, when, of what length."""
+"""Registered, seeded workloads of the bench."""
 
 import random
 import typing
@@ -17,23 +17,23 @@
     Attributes
     ----------
     name : str
-        For results.
+        Name in results.
     weight : float
         Share of the requests.
     fresh : tuple of int
-        Tokens of the prompt that no other request has.
+        Unique tokens of the prompt.
     answer : tuple of int
         Tokens of the answer.
     deadline : float
         Seconds.
     shared : bool
-        All requests of a team and kind begin with the same `SHARED_TOKENS` tokens.
+        Whether all prompts of a team and kind share their first `SHARED_TOKENS` tokens.
     history : tuple of int
         Tokens of a session's history; (0, 0) for kinds without sessions.
     sessions : int
-        Sessions of each team.
+        Number of sessions per team.
     grows : bool
-        Each request of a session adds its own part to the history.
+        Whether each request of a session appends its unique tokens to the history.
     path : str
         Path of a call to the plain service; empty for model engines.
     """
@@ -58,15 +58,15 @@
     name : str
         Name in the registry.
     kinds : list of Kind
-        The mix at the start.
+        The mix of requests, in the first half if there is a later one.
     later : list of Kind
-        The mix of the second half; empty for the same as at the start.
+        The mix of the second half; empty to keep the first mix.
     tiers : list of float
-        Shares of the tiers, the most important first.
+        Shares of the requests by tier, the most important first.
     burst : float
         Factor on the rate in the middle fifth of the run.
     repeats : int
-        How often the application asks again after "not run".
+        Number of times that the application repeats a call after "not run".
     """
 
     name: str
@@ -125,34 +125,34 @@
     registered.register(_workload.name)(_workload)
 
 
-class _Writer:
-    """Writes prompts; keeps the texts that requests share."""
+class _PromptGenerator:
+    """Generates prompts and caches the texts that requests share."""
 
-    def __init__(self, source: random.Random):
-        self._source = source
-        self._kept: dict[str, str] = {}
+    def __init__(self, rng: random.Random):
+        self._rng = rng
+        self._shared_texts: dict[str, str] = {}
 
     def prompt(self, team: str, kind: Kind) -> tuple[str, str]:
-        """Return the session, or an empty string, and the prompt."""
-        source = self._source
+        """Return the session name, or an empty string, and the prompt."""
+        rng = self._rng
         if kind.path:
             return "", ""
-        fresh = workloads.text(source, source.randint(*kind.fresh))
+        fresh = workloads.text(rng, rng.randint(*kind.fresh))
         if kind.shared:
-            begin = self._keep(f"{team}/{kind.name}", SHARED_TOKENS)
-            return "", begin + fresh
+            prefix = self._shared_text(f"{team}/{kind.name}", SHARED_TOKENS)
+            return "", prefix + fresh
         if not kind.sessions:
             return "", fresh
-        session = f"{team}-{kind.name}-{source.randrange(kind.sessions)}"
-        history = self._keep(session, source.randint(*kind.history))
+        session = f"{team}-{kind.name}-{rng.randrange(kind.sessions)}"
+        history = self._shared_text(session, rng.randint(*kind.history))
         if kind.grows:
-            self._kept[session] = history + fresh
+            self._shared_texts[session] = history + fresh
         return session, history + fresh
 
-    def _keep(self, name: str, tokens: int) -> str:
-        if name not in self._kept:
-            self._kept[name] = workloads.text(self._source, tokens)
-        return self._kept[name]
+    def _shared_text(self, name: str, tokens: int) -> str:
+        if name not in self._shared_texts:
+            self._shared_texts[name] = workloads.text(self._rng, tokens)
+        return self._shared_texts[name]
 
 
 def build(
@@ -162,34 +162,34 @@
     seconds: float,
     rate: float,
 ) -> list[workloads.Arrival]:
-    """Return the arrivals of a run; the same for the same arguments.
+    """Return the arrivals of a run; deterministic for given arguments.
 
     Parameters
     ----------
     workload : Workload
-        The mix.
+        Mix of requests.
     deployment : Deployment
         Teams, tiers and services.
     seed : int
-        Seed of all choices.
+        Seed of the random generator.
     seconds : float
         Time over which requests arrive.
     rate : float
-        Mean requests a second outside a burst.
+        Mean requests per second outside a burst.
     """
-    source = random.Random(seed)
-    writer = _Writer(source)
+    rng = random.Random(seed)
+    generator = _PromptGenerator(rng)
     shares = [team.share for team in deployment.teams]
     arrivals = []
-    at = source.expovariate(rate)
+    at = rng.expovariate(rate)
     while at < seconds:
         kinds = workload.kinds
         if workload.later and at > seconds / 2:
             kinds = workload.later
-        kind = source.choices(kinds, [kind.weight for kind in kinds])[0]
-        team = source.choices(deployment.teams, shares)[0]
-        tier = source.choices(deployment.tiers, workload.tiers)[0]
-        session, prompt = writer.prompt(team.name, kind)
+        kind = rng.choices(kinds, [kind.weight for kind in kinds])[0]
+        team = rng.choices(deployment.teams, shares)[0]
+        tier = rng.choices(deployment.tiers, workload.tiers)[0]
+        session, prompt = generator.prompt(team.name, kind)
         service = deployment.plain_service if kind.path else deployment.model_service
         arrivals.append(
             workloads.Arrival(
@@ -199,12 +199,12 @@
                 service,
                 session,
                 prompt,
-                source.randint(*kind.answer),
+                rng.randint(*kind.answer),
                 kind.path,
                 kind.deadline,
                 not kind.path,
             )
         )
         in_burst = BURST_FROM <= at / seconds < BURST_UNTIL
-        at += source.expovariate(rate * (workload.burst if in_burst else 1.0))
+        at += rng.expovariate(rate * (workload.burst if in_burst else 1.0))
     return arrivals
--- a/packages/dev/cassiaquay_dev/trials/bounds.py
+++ b/packages/dev/cassiaquay_dev/trials/bounds.py
@@ -1,19 +1,19 @@
-"""An upper bound of what engines can finish in time, and the capacity of a fleet.
+"""Upper bound of the requests that engines can finish in time, and their capacity.
 
-The model is a relaxation, so no real schedule does better:
+The model is a relaxation, so no real schedule exceeds the bound:
 
 - An engine with a full batch of ``b`` spends ``step / b + decode`` on each generated
   token, and ``1 / prefill speed`` on each prompt token that no earlier request of the
-  run has had (an oracle with all caches, never full).
-- All engines are one fluid pool. Engine i gives ``speed_i`` units of work a second,
-  1 for the fastest; a request needs the least of ``cost_i * speed_i`` over the engines.
-- A request may be worked on at any time between its arrival and its deadline,
-  by parts, by any number of engines at once; a part of it counts as that part.
-- A request that no idle engine could finish in time is left out.
+  run contained (an oracle that holds the contents of all caches without eviction).
+- All engines form one fluid pool. Engine i does ``speed_i`` units of work per second,
+  1 for the fastest; a request needs the minimum of ``cost_i * speed_i`` over engines.
+- A request may be processed at any time between its arrival and its deadline, in
+  parts and by any number of engines at once; a finished fraction counts as a fraction.
+- A request that no idle engine could finish in time is excluded.
 
 The feasible amounts of work form a polymatroid (work inside each interval is at most
-what the pool does in it), so giving work greedily by value for work is optimal: the
-cheapest requests first without tiers, tier by tier for the strict order. Reference:
+what the pool does in it), so greedy allocation by value per unit of work is optimal:
+the cheapest requests first without tiers, tier by tier for the strict order. Reference:
 Edmonds, "Submodular functions, matroids, and certain polyhedra", 1970.
 """
 
@@ -36,14 +36,14 @@
 
 
 class Need(typing.NamedTuple):
-    """What one request needs of model engines.
+    """Demand of one request on model engines.
 
     Attributes
     ----------
     arrival : Arrival
         The request.
     cached_tokens, fresh_tokens : int
-        Prompt tokens that an oracle has cached, and the others.
+        Prompt tokens that an oracle has cached, and the remaining ones.
     """
 
     arrival: workloads.Arrival
@@ -52,7 +52,7 @@
 
 
 class Bound(typing.NamedTuple):
-    """Requests in time, at most; ``by_tier`` for the strict order of tiers."""
+    """Upper bound of the requests in time; ``by_tier`` for strict priority of tiers."""
 
     by_tier: dict[str, float]
     without_tiers: float
@@ -60,13 +60,13 @@
 
     @property
     def strict(self) -> float:
-        """Sum over the tiers of the strict order."""
+        """Sum over tiers under strict priority."""
         return sum(self.by_tier.values())
 
 
 def needs(arrivals: list[workloads.Arrival]) -> list[Need]:
-    """Return the needs of the requests for model engines, in order of arrival."""
-    known: set[int] = set()
+    """Return the needs of the requests to model engines, in order of arrival."""
+    known_blocks: set[int] = set()
     found = []
     for arrival in arrivals:
         if arrival.path:
@@ -74,24 +74,24 @@
         hashes = blocks.block_hashes(arrival.prompt)
         cached = 0
         for block in hashes:
-            if block not in known:
+            if block not in known_blocks:
                 break
             cached += blocks.TOKENS_PER_BLOCK
-        known.update(hashes)
+        known_blocks.update(hashes)
         total = blocks.count_tokens(arrival.prompt)
         found.append(Need(arrival, cached, total - cached))
     return found
 
 
 def cost(engine: deployments.EngineSpec, need: Need, decode_ms: float) -> float:
-    """Return the seconds of an engine with a full batch that a request takes."""
+    """Return the seconds that a request takes of an engine with a full batch."""
     token_ms = engine.step_ms / engine.max_batch + decode_ms
     prefill = need.fresh_tokens / engine.prefill_tokens_per_second
     return prefill + need.arrival.max_tokens * token_ms / 1000.0
 
 
 def idle_seconds(engine: deployments.EngineSpec, need: Need, decode_ms: float) -> float:
-    """Return the seconds from arrival to the end of an answer on an idle engine."""
+    """Return the seconds from arrival to the last token on an idle engine."""
     chunks = math.ceil(need.fresh_tokens / PREFILL_CHUNK_TOKENS)
     token_ms = engine.step_ms + decode_ms
     steps_ms = chunks * engine.step_ms + need.arrival.max_tokens * token_ms
@@ -106,9 +106,9 @@
     engines : list of EngineSpec
         The engines.
     decode_ms : float
-        Milliseconds that each running request adds to a step.
+        Milliseconds that each decoding request adds to a step.
     found : list of Need
-        Requests whose mean cost makes the speeds comparable.
+        Requests whose mean cost defines the relative speeds.
     """
 
     def __init__(
@@ -128,18 +128,18 @@
 
     @property
     def speed(self) -> float:
-        """Units of work a second of all engines."""
+        """Total units of work per second."""
         return sum(self.speeds)
 
     def work(self, need: Need) -> float:
-        """Return the least work that a request is."""
-        least = math.inf
+        """Return the minimum work of a request over the engines."""
+        min_work = math.inf
         for engine, speed in zip(self._engines, self.speeds, strict=True):
-            least = min(least, cost(engine, need, self._decode_ms) * speed)
-        return least
+            min_work = min(min_work, cost(engine, need, self._decode_ms) * speed)
+        return min_work
 
     def can_finish(self, need: Need) -> bool:
-        """Tell whether some idle engine finishes a request in time."""
+        """Return whether any idle engine can finish a request by its deadline."""
         shortest = min(
             idle_seconds(engine, need, self._decode_ms) for engine in self._engines
         )
@@ -153,14 +153,14 @@
     build: Build,
     seconds: float,
 ) -> float:
-    """Return the arrivals a second whose work is ``load`` times the capacity.
+    """Return the arrival rate whose work is ``load`` times the capacity.
 
     Parameters
     ----------
     load : float
-        Work that arrives in ``seconds`` for the work that all engines can do in them.
+        Work that arrives in ``seconds`` divided by the work that all engines can do.
     build : callable
-        Returns the arrivals of ``seconds`` at a rate.
+        Returns the arrivals of ``seconds`` seconds at a given rate.
     """
     rate = 10.0
     for _ in range(CAPACITY_ROUNDS):
@@ -171,20 +171,23 @@
     return rate
 
 
-class _Interval:
-    """Work given so far, for each interval of slots."""
+class _CapacityAllocator:
+    """Tracks the work that remains available in each interval of time slots."""
 
     def __init__(self, capacity: list[float]):
         sums = numpy.concatenate([[0.0], numpy.cumsum(capacity)])
-        # _slack[a, b]: what slots a..b-1 can still do for windows within them.
-        self._slack = sums[None, :] - sums[:, None]
+        # _available[a, b]: work that slots a..b-1 can still do for windows inside them.
+        self._available = sums[None, :] - sums[:, None]
 
-    def give(self, start: int, end: int, wanted: float) -> float:
-        """Give up to ``wanted`` work in the slots ``start`` to ``end - 1``."""
-        around = self._slack[: start + 1, end:]
-        given = max(min(wanted, float(around.min())), 0.0)
-        around -= given
-        return given
+    def allocate(self, start: int, end: int, wanted: float) -> float:
+        """Allocate up to ``wanted`` work in slots ``start`` to ``end - 1``.
+
+        Returns the allocated work.
+        """
+        enclosing = self._available[: start + 1, end:]
+        allocated = max(min(wanted, float(enclosing.min())), 0.0)
+        enclosing -= allocated
+        return allocated
 
 
 def bound(
@@ -193,7 +196,7 @@
     tiers: list[str],
     speed_at: collections.abc.Callable[[float], float] | None = None,
 ) -> Bound:
-    """Return the most requests that can be in time.
+    """Return the upper bound of the requests that can be in time.
 
     Parameters
     ----------
@@ -202,10 +205,10 @@
     found : list of Need
         The requests.
     tiers : list of str
-        The most important first.
+        Names of the tiers, the most important first.
     speed_at : callable, optional
-        Work a second at a time of the run, for engines that change; constant
-        otherwise.
+        Units of work per second at a time of the run, for engines whose speed
+        changes; constant if left out.
     """
     finishable = [need for need in found if pool.can_finish(need)]
     works = {id(need): pool.work(need) for need in finishable}
@@ -218,14 +221,14 @@
     ranks = {tier: rank for rank, tier in enumerate(tiers)}
 
     def fill(order: list[Need]) -> dict[str, float]:
-        interval = _Interval(capacity)
+        allocator = _CapacityAllocator(capacity)
         done = dict.fromkeys(tiers, 0.0)
         for need in order:
             work = works[id(need)]
             start = math.floor(need.arrival.at / SLOT_SECONDS)
             end = math.ceil((need.arrival.at + need.arrival.deadline) / SLOT_SECONDS)
-            given = interval.give(start, end, work)
-            done[need.arrival.tier] += given / work if work else 1.0
+            allocated = allocator.allocate(start, end, work)
+            done[need.arrival.tier] += allocated / work if work else 1.0
         return done
 
     cheapest = sorted(finishable, key=lambda need: works[id(need)])
--- a/packages/dev/cassiaquay_dev/trials/checker.py
+++ b/packages/dev/cassiaquay_dev/trials/checker.py
@@ -1,7 +1,7 @@
-"""Decide over a history whether each promise of the brief held.
+"""Check a recorded history against each guarantee (promise) of the system.
 
-Each check is a function registered under the name of its promise; it returns one line
-for each breach. tests/test_checker.py shows for each a history that it rejects.
+Each check is a function registered under the name of its promise and returns one line
+per breach. tests/test_checker.py has a history that violates each of them.
 """
 
 import collections
@@ -13,7 +13,7 @@
 from ..standins import texts
 from . import history
 
-LEAVING_SECONDS = 2.0
+LEAVING_GRACE_SECONDS = 2.0
 SHED_CODES = ("shed_overload", "deadline_infeasible")
 
 Check = collections.abc.Callable[[history.History], list[str]]
@@ -21,73 +21,73 @@
 
 
 class Breach(typing.NamedTuple):
-    """A promise that did not hold, and how."""
+    """A violated promise and a description of the violation."""
 
     promise: str
     text: str
 
 
-def check(seen: history.History) -> list[Breach]:
-    """Return every breach of every registered promise."""
+def check(recorded: history.History) -> list[Breach]:
+    """Run all registered checks and return all breaches."""
     found = []
     for name in checks.names():
-        for text in checks.get(name)(seen):
+        for text in checks.get(name)(recorded):
             found.append(Breach(name, text))
     return found
 
 
 @checks.register("at_most_one_dispatch")
-def at_most_one_dispatch(seen: history.History) -> list[str]:
+def at_most_one_dispatch(recorded: history.History) -> list[str]:
     """Require that a request is dispatched to a back end at most once."""
-    arrivals = collections.Counter(event.key for event in seen.of(history.Arrived))
-    sends = collections.Counter(event.id for event in seen.of(history.Dispatched))
+    arrivals = collections.Counter(event.key for event in recorded.of(history.Arrived))
+    sends = collections.Counter(event.id for event in recorded.of(history.Dispatched))
     found = [f"{key} came {n} times" for key, n in arrivals.items() if n > 1]
     found += [f"{name} was sent {n} times" for name, n in sends.items() if n > 1]
     return found
 
 
 @checks.register("not_run_did_not_run")
-def not_run_did_not_run(seen: history.History) -> list[str]:
-    """Require that an id called ``not_run`` is at no back end, before or after."""
-    arrived = {event.key.rpartition("~")[0] for event in seen.of(history.Arrived)}
+def not_run_did_not_run(recorded: history.History) -> list[str]:
+    """Require that an id reported as ``not_run`` never arrives at a back end."""
+    arrived = {event.key.rpartition("~")[0] for event in recorded.of(history.Arrived)}
     refused: dict[str, str] = {}
-    for told in seen.of(history.OutcomeReported):
-        if told.outcome == "not_run":
-            refused[told.id] = f"a caller ({told.code})"
-    for ended in seen.of(history.Ended):
+    for report in recorded.of(history.OutcomeReported):
+        if report.outcome == "not_run":
+            refused[report.id] = f"a caller ({report.code})"
+    for ended in recorded.of(history.Ended):
         if ended.outcome == "not_run":
             refused[ended.id] = f"{ended.instance} ({ended.code})"
     found = []
-    for request_id, who in refused.items():
+    for request_id, reporter in refused.items():
         if request_id in arrived:
-            found.append(f"{request_id} ran though {who} has it as not run")
+            found.append(f"{request_id} ran though {reporter} has it as not run")
     return found
 
 
 @checks.register("own_whole_answer")
-def own_whole_answer(seen: history.History) -> list[str]:
-    """Require that an answer is all that the engine makes for its id and team."""
+def own_whole_answer(recorded: history.History) -> list[str]:
+    """Require that an answer is the complete text generated for its id and team."""
     found = []
-    for answer in seen.of(history.Answered):
+    for answer in recorded.of(history.Answered):
         key = f"{answer.id}~{answer.team}"
         if answer.text != texts.expected_answer(key, answer.length):
             found.append(f"{answer.id} got another text")
-    lengths = {event.id: event.length for event in seen.of(history.Answered)}
-    for told in seen.of(history.OutcomeReported):
-        if told.outcome == "completed" and lengths.get(told.id, 1) == 0:
-            found.append(f"{told.id} is completed with an empty answer")
+    lengths = {event.id: event.length for event in recorded.of(history.Answered)}
+    for report in recorded.of(history.OutcomeReported):
+        if report.outcome == "completed" and lengths.get(report.id, 1) == 0:
+            found.append(f"{report.id} is completed with an empty answer")
     return found
 
 
 @checks.register("non_idempotent_at_most_once")
-def non_idempotent_at_most_once(seen: history.History) -> list[str]:
-    """Require that a non-idempotent call runs once at most, over all its ids."""
+def non_idempotent_at_most_once(recorded: history.History) -> list[str]:
+    """Require that a non-idempotent call runs at most once over all its ids."""
     calls: dict[str, set[str]] = {}
-    for attempt in seen.of(history.Attempted):
+    for attempt in recorded.of(history.Attempted):
         if not attempt.idempotent:
             calls.setdefault(attempt.call, set()).add(attempt.id)
     runs = collections.Counter(
-        event.key.rpartition("~")[0] for event in seen.of(history.Arrived)
+        event.key.rpartition("~")[0] for event in recorded.of(history.Arrived)
     )
     found = []
     for call, ids in calls.items():
@@ -98,53 +98,53 @@
 
 
 @checks.register("nothing_to_leaving_servers")
-def nothing_to_leaving_servers(seen: history.History) -> list[str]:
-    """Require that a backend server listed as leaving soon gets no new work."""
-    since = {event.server: event.at for event in seen.of(history.ServerLeaving)}
+def nothing_to_leaving_servers(recorded: history.History) -> list[str]:
+    """Require that a backend server that is listed as leaving gets no new requests."""
+    since = {event.server: event.at for event in recorded.of(history.ServerLeaving)}
     found = []
-    for event in seen.of(history.Arrived):
+    for event in recorded.of(history.Arrived):
         if event.server not in since:
             continue
-        late = event.at - since[event.server]
-        if late > LEAVING_SECONDS:
-            found.append(f"{event.key} came to {event.server} {late:.1f} s late")
+        delay = event.at - since[event.server]
+        if delay > LEAVING_GRACE_SECONDS:
+            found.append(f"{event.key} came to {event.server} {delay:.1f} s late")
     return found
 
 
 @checks.register("planned_stops_cut_nothing")
-def planned_stops_cut_nothing(seen: history.History) -> list[str]:
-    """Require that a planned stop ends and leaves no dispatched request behind."""
+def planned_stops_cut_nothing(recorded: history.History) -> list[str]:
+    """Require that a planned stop completes and cuts off no dispatched request."""
     found = []
-    ended = {event.id for event in seen.of(history.Ended)}
-    stops = [(event.instance, event.at) for event in seen.of(history.Stopped)]
-    for leaving in seen.of(history.InstanceLeaving):
+    ended = {event.id for event in recorded.of(history.Ended)}
+    stops = [(event.instance, event.at) for event in recorded.of(history.Stopped)]
+    for leaving in recorded.of(history.InstanceLeaving):
         ends = [at for name, at in stops if name == leaving.instance]
         if not [at for at in ends if at >= leaving.at]:
             found.append(f"{leaving.instance} never ended its planned stop")
             continue
-        begun = _life_of(seen, leaving)
-        for event in seen.of(history.Dispatched):
+        begun = _started_at(recorded, leaving)
+        for event in recorded.of(history.Dispatched):
             if event.instance != leaving.instance or event.at < begun:
                 continue
             if event.at <= min(at for at in ends if at >= leaving.at):
                 if event.id not in ended:
                     found.append(f"{leaving.instance} stopped and cut {event.id}")
-    found += _cut_while_leaving(seen)
+    found += _cut_while_leaving(recorded)
     return found
 
 
-def _life_of(seen: history.History, leaving: history.InstanceLeaving) -> float:
+def _started_at(recorded: history.History, leaving: history.InstanceLeaving) -> float:
     begun = 0.0
-    for event in seen.of(history.Started):
+    for event in recorded.of(history.Started):
         if event.instance == leaving.instance and event.at <= leaving.at:
             begun = event.at
     return begun
 
 
-def _cut_while_leaving(seen: history.History) -> list[str]:
+def _cut_while_leaving(recorded: history.History) -> list[str]:
     found = []
-    for leaving in seen.of(history.InstanceLeaving):
-        for event in seen.of(history.Ended):
+    for leaving in recorded.of(history.InstanceLeaving):
+        for event in recorded.of(history.Ended):
             if event.instance != leaving.instance or event.at < leaving.at:
                 continue
             if event.code == "stopped_while_running":
@@ -153,15 +153,18 @@
 
 
 @checks.register("configuration_monotone")
-def configuration_monotone(seen: history.History) -> list[str]:
-    """Require that no instance goes back, also over its lives if others knew."""
+def configuration_monotone(recorded: history.History) -> list[str]:
+    """Require that the revision in force at an instance never decreases.
+
+    After a restart a lower revision is allowed if no instance had a newer one.
+    """
     found = []
     newest: dict[str, int] = {}
     begun = collections.Counter[str]()
     highest = 0
     events: list[history.Started | history.InForce] = [
-        *seen.of(history.Started),
-        *seen.of(history.InForce),
+        *recorded.of(history.Started),
+        *recorded.of(history.InForce),
     ]
     for event in sorted(events, key=lambda one: one.at):
         if isinstance(event, history.Started):
@@ -171,7 +174,7 @@
         if event.revision <= before and begun[event.instance] < 2:
             found.append(f"{event.instance}: {event.revision} after {before}")
         elif event.revision < before and highest > event.revision:
-            # A new life of the instance, while others already had a newer text.
+            # The instance restarted with an older revision than one already in force.
             found.append(
                 f"{event.instance}: {event.revision} in a new life after {before}"
             )
@@ -181,13 +184,13 @@
 
 
 @checks.register("tiers_under_shedding")
-def tiers_under_shedding(seen: history.History) -> list[str]:
-    """Require that no demand is shed while its shard grants to a lower tier."""
-    grants = seen.of(history.Granted)
+def tiers_under_shedding(recorded: history.History) -> list[str]:
+    """Require that a shard grants to no lower tier while a demand waits to be shed."""
+    grants = recorded.of(history.Granted)
     found = []
-    for shed in seen.of(history.Shed):
-        # A limit of a team or service may refuse any tier. Work that cannot be in time
-        # even on idle engines is refused at once, so its window is empty.
+    for shed in recorded.of(history.Shed):
+        # Limits of a team or service may refuse any tier. Demands that cannot be in
+        # time even on idle engines are refused at once, so their wait is empty.
         if shed.code not in SHED_CODES:
             continue
         for grant in grants:
--- a/packages/dev/cassiaquay_dev/trials/driver.py
+++ b/packages/dev/cassiaquay_dev/trials/driver.py
@@ -1,4 +1,4 @@
-"""Send a workload by the caller package and note what became of each request."""
+"""Send a workload through the caller package and record the result of each request."""
 
 import asyncio
 import collections.abc
@@ -10,7 +10,7 @@
 
 
 class Result(typing.NamedTuple):
-    """What became of one arrival.
+    """Result of one arrival.
 
     Attributes
     ----------
@@ -21,11 +21,11 @@
     code : str
         Code of the error, or ``completed``.
     request_id : str
-        Last id used.
+        Id of the last attempt.
     seconds : float
-        From the first attempt to the end.
+        Time from the first attempt to the end.
     text : str
-        The answer.
+        Text of the answer.
     """
 
     arrival: workloads.Arrival
@@ -37,21 +37,21 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the whole answer came before the deadline."""
+        """Whether the complete answer arrived before the deadline."""
         return self.outcome == "completed" and self.seconds <= self.arrival.deadline
 
 
 class Driver:
-    """Sends arrivals at their times, one session for each team.
+    """Sends arrivals at their planned times, with one session per team.
 
     Parameters
     ----------
     seeds : list of str
-        Addresses of instances to start from.
+        Addresses of the instances that sessions contact first.
     domains : list of str
-        Failure domains that the callers are in, in turn.
+        Failure domains of the callers, assigned to sessions in rotation.
     watch : callable, optional
-        Is given each new session and the name of its team.
+        Called with each new session and the name of its team.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._sessions: dict[str, cassiaquay.Session] = {}
 
     async def run(self, arrivals: list[workloads.Arrival]) -> list[Result]:
-        """Send all arrivals; return when the last one has ended."""
+        """Send all arrivals and return their results when all have ended."""
         loop = asyncio.get_running_loop()
         start = loop.time()
         tasks: list[asyncio.Task[None]] = []
@@ -77,8 +77,7 @@
                 tasks.append(asyncio.create_task(self._send(arrival)))
             await asyncio.gather(*tasks)
         finally:
-            # A run that is cancelled must not leave requests behind that then find
-            # their sessions closed.
+            # When the run is cancelled, requests must end before their sessions close.
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -104,7 +103,7 @@
         start = loop.time()
         outcome, code, request_id, text = "completed", "completed", "", ""
         try:
-            answer = await self._ask(arrival)
+            answer = await self._send_request(arrival)
             request_id = answer.request_id
             text = answer.text
         except cassiaquay.exceptions.CassiaquayError as error:
@@ -114,7 +113,7 @@
         elapsed = loop.time() - start
         self.results.append(Result(arrival, outcome, code, request_id, elapsed, text))
 
-    async def _ask(self, arrival: workloads.Arrival) -> cassiaquay.Answer:
+    async def _send_request(self, arrival: workloads.Arrival) -> cassiaquay.Answer:
         session = self._session(arrival)
         if arrival.path:
             return await session.call(
@@ -136,7 +135,7 @@
 
 
 def outcome_of(error: cassiaquay.exceptions.CassiaquayError) -> str:
-    """Return the outcome that an error stands for."""
+    """Return the outcome that an error represents."""
     if isinstance(error, cassiaquay.exceptions.NotRun):
         return "not_run"
     if isinstance(error, cassiaquay.exceptions.Failed):
--- a/packages/dev/cassiaquay_dev/trials/fairness.py
+++ b/packages/dev/cassiaquay_dev/trials/fairness.py
@@ -1,4 +1,4 @@
-"""How fairly teams were served, inside each tier."""
+"""Fairness between teams within each tier."""
 
 from .. import deployments
 from ..standins import blocks
@@ -17,52 +17,56 @@
 
 
 def fair_shares(
-    wanted: dict[str, float], weights: dict[str, float], total: float
+    demanded: dict[str, float], weights: dict[str, float], total: float
 ) -> dict[str, float]:
-    """Return the weighted max-min fair division of ``total`` over what is wanted."""
-    given = dict.fromkeys(wanted, 0.0)
-    left = total
-    hungry = set(wanted)
-    while hungry and left > 1e-9:
-        unit = left / sum(weights[name] for name in hungry)
-        full = [n for n in hungry if wanted[n] - given[n] <= unit * weights[n]]
-        if not full:
-            for name in hungry:
-                given[name] += unit * weights[name]
-            return given
-        for name in full:
-            left -= wanted[name] - given[name]
-            given[name] = wanted[name]
-            hungry.discard(name)
-    return given
+    """Return the weighted max-min fair allocation of ``total`` to the demands."""
+    allocated = dict.fromkeys(demanded, 0.0)
+    remaining = total
+    unsatisfied = set(demanded)
+    while unsatisfied and remaining > 1e-9:
+        share_per_weight = remaining / sum(weights[name] for name in unsatisfied)
+        satisfied = [
+            n
+            for n in unsatisfied
+            if demanded[n] - allocated[n] <= share_per_weight * weights[n]
+        ]
+        if not satisfied:
+            for name in unsatisfied:
+                allocated[name] += share_per_weight * weights[name]
+            return allocated
+        for name in satisfied:
+            remaining -= demanded[name] - allocated[name]
+            allocated[name] = demanded[name]
+            unsatisfied.discard(name)
+    return allocated
 
 
 def fairness(
     records: list[bench_driver.Record], deployment: deployments.Deployment
 ) -> float:
-    """Return how fairly teams were served: the mean over tiers of Jain's index.
+    """Return the mean over tiers of Jain's index, weighted by the tokens served.
 
-    In each tier, what teams got is compared to their weighted max-min fair shares of
-    what all got in that tier, in prompt and answer tokens of requests answered in
-    time; tiers count by what was got in them.
+    The index of a tier is computed over the teams' served tokens divided by their
+    weighted max-min fair shares of all tokens served in the tier. Prompt and answer
+    tokens of requests answered in time count as served.
     """
     total = 0.0
     sum_of_tiers = 0.0
     weights = {team.name: team.weight for team in deployment.teams}
     for tier in deployment.tiers:
-        wanted = dict.fromkeys(weights, 0.0)
-        got = dict(wanted)
+        demanded = dict.fromkeys(weights, 0.0)
+        received = dict(demanded)
         for record in records:
             arrival = record.arrival
             if arrival.tier != tier or arrival.path:
                 continue
             tokens = blocks.count_tokens(arrival.prompt) + arrival.max_tokens
-            wanted[arrival.team.name] += tokens
+            demanded[arrival.team.name] += tokens
             if record.in_time:
-                got[arrival.team.name] += tokens
-        tier_total = sum(got.values())
-        fair = fair_shares(wanted, weights, tier_total)
-        shares = [got[name] / fair[name] for name in got if fair[name]]
+                received[arrival.team.name] += tokens
+        tier_total = sum(received.values())
+        fair = fair_shares(demanded, weights, tier_total)
+        shares = [received[name] / fair[name] for name in received if fair[name]]
         if shares:
             total += tier_total
             sum_of_tiers += tier_total * jain(shares)
--- a/packages/dev/cassiaquay_dev/trials/faults.py
+++ b/packages/dev/cassiaquay_dev/trials/faults.py
@@ -1,4 +1,4 @@
-"""Fault schedules of the bench: what goes wrong, and when."""
+"""Fault schedules of the bench: which fault occurs, and when."""
 
 import asyncio
 import collections.abc
@@ -13,17 +13,18 @@
 
 
 class Fault(typing.NamedTuple):
-    """One schedule.
+    """One fault schedule.
 
     Attributes
     ----------
     engine_settings : dict
-        Settings of all engines that differ from the start on.
+        Settings that override the engines' defaults from the start.
     act : callable
-        Run beside the workload; gets the cluster and the seconds of arrivals.
+        Coroutine function that runs concurrently with the workload; gets the cluster
+        and the seconds of arrivals.
     speed : callable
-        Share of the first engine's speed left at a time, given the seconds of
-        arrivals; used by the bound.
+        Returns the remaining share of the first engine's speed at a time, given the
+        seconds of arrivals; used by the bound.
     """
 
     engine_settings: dict[str, float]
@@ -36,42 +37,56 @@
 faults: registry.Registry[Fault] = registry.Registry("fault schedule")
 
 
-async def _nothing(started: bench_cluster.BenchCluster, seconds: float) -> None:
+async def _no_fault(
+    running_cluster: bench_cluster.BenchCluster, seconds: float
+) -> None:
     """Do nothing."""
 
 
-async def _slow_engine(started: bench_cluster.BenchCluster, seconds: float) -> None:
+async def _slow_engine(
+    running_cluster: bench_cluster.BenchCluster, seconds: float
+) -> None:
     await asyncio.sleep(seconds / 3)
-    address = started.addresses[started.deployment.engines[0].name]
-    await started.control(address, "POST", "/control/slow", {"factor": SLOW_FACTOR})
+    address = running_cluster.addresses[running_cluster.deployment.engines[0].name]
+    await running_cluster.control(
+        address, "POST", "/control/slow", {"factor": SLOW_FACTOR}
+    )
 
 
-async def _lose_engine(started: bench_cluster.BenchCluster, seconds: float) -> None:
+async def _lose_engine(
+    running_cluster: bench_cluster.BenchCluster, seconds: float
+) -> None:
     await asyncio.sleep(seconds / 3)
-    await started.kill_first_engine()
+    await running_cluster.kill_first_engine()
 
 
-async def _lose_instance(started: bench_cluster.BenchCluster, seconds: float) -> None:
+async def _lose_instance(
+    running_cluster: bench_cluster.BenchCluster, seconds: float
+) -> None:
     await asyncio.sleep(seconds / 3)
-    await started.kill_daemon()
+    await running_cluster.kill_daemon()
 
 
-def _whole(at: float, seconds: float) -> float:
+def _full_speed(at: float, seconds: float) -> float:
     return 1.0
 
 
-def _third(at: float, seconds: float) -> float:
+def _slowed_speed(at: float, seconds: float) -> float:
     return 1.0 / SLOW_FACTOR if at >= seconds / 3 else 1.0
 
 
-def _gone(at: float, seconds: float) -> float:
+def _lost_speed(at: float, seconds: float) -> float:
     return 0.0 if at >= seconds / 3 else 1.0
 
 
-STALE = {"report_lag_ms": STALE_MS, "event_lag_ms": STALE_MS, "event_gap_share": 0.2}
+STALE_REPORT_SETTINGS = {
+    "report_lag_ms": STALE_MS,
+    "event_lag_ms": STALE_MS,
+    "event_gap_share": 0.2,
+}
 
-faults.register("none")(Fault({}, _nothing, _whole))
-faults.register("engine-slow")(Fault({}, _slow_engine, _third))
-faults.register("engine-lost")(Fault({}, _lose_engine, _gone))
-faults.register("instance-lost")(Fault({}, _lose_instance, _whole))
-faults.register("stale-reports")(Fault(STALE, _nothing, _whole))
+faults.register("none")(Fault({}, _no_fault, _full_speed))
+faults.register("engine-slow")(Fault({}, _slow_engine, _slowed_speed))
+faults.register("engine-lost")(Fault({}, _lose_engine, _lost_speed))
+faults.register("instance-lost")(Fault({}, _lose_instance, _full_speed))
+faults.register("stale-reports")(Fault(STALE_REPORT_SETTINGS, _no_fault, _full_speed))
--- a/packages/dev/cassiaquay_dev/trials/history.py
+++ b/packages/dev/cassiaquay_dev/trials/history.py
@@ -1,8 +1,8 @@
-"""Histories of concurrent runs: what callers, daemons and back ends saw, as events.
+"""Histories of concurrent runs: events recorded from callers, daemons and back ends.
 
-Callers are recorded through the hooks of their sessions, daemons by their JSON log
-lines, back ends by their own logs. Times are seconds since 1970 of one machine, so
-events of different processes can be compared.
+Events of callers come from the hooks of their sessions, those of daemons from their
+JSON log lines, those of back ends from the back ends' own logs. Times are seconds since
+1970 by one machine's clock, so events of different processes can be compared.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 from .. import cluster
 
 ENDED_STATES = ("finished", "completed")
-# Batches of log lines that are waited for: the one being gathered, and one more.
-SETTLE_BATCHES = 3
+# Log batches to wait for, which covers the one being gathered and one more.
+AWAITED_LOG_BATCHES = 3
 
 
 class Attempted(typing.NamedTuple):
@@ -31,7 +31,7 @@
 
 
 class OutcomeReported(typing.NamedTuple):
-    """A caller was told what became of an id."""
+    """The outcome of an id was reported to its caller."""
 
     at: float
     id: str
@@ -40,7 +40,7 @@
 
 
 class Answered(typing.NamedTuple):
-    """An application got a whole answer."""
+    """An application received a complete answer."""
 
     at: float
     id: str
@@ -59,7 +59,7 @@
 
 
 class Ended(typing.NamedTuple):
-    """An owner fixed the outcome of an id."""
+    """An owner recorded the final outcome of an id."""
 
     at: float
     instance: str
@@ -69,7 +69,7 @@
 
 
 class Arrived(typing.NamedTuple):
-    """A back end's own log line; ``key`` is the id with the team."""
+    """A request arrived at a back end; ``key`` is the id with the team."""
 
     at: float
     server: str
@@ -78,7 +78,7 @@
 
 
 class ServerLeaving(typing.NamedTuple):
-    """The instance list shows a backend server as leaving from now on."""
+    """From this time the instance list shows a backend server as leaving."""
 
     at: float
     server: str
@@ -108,14 +108,14 @@
 
 
 class Stopped(typing.NamedTuple):
-    """A daemon ended its planned stop."""
+    """A daemon completed its planned stop."""
 
     at: float
     instance: str
 
 
 class Granted(typing.NamedTuple):
-    """A keeper gave a permit; ``rank`` 0 is the most important tier."""
+    """A keeper granted a permit; ``rank`` 0 is the most important tier."""
 
     at: float
     instance: str
@@ -125,7 +125,7 @@
 
 
 class Shed(typing.NamedTuple):
-    """A keeper gave a demand up that had waited for ``waited`` seconds."""
+    """A keeper shed a demand that had waited for ``waited`` seconds."""
 
     at: float
     instance: str
@@ -155,7 +155,7 @@
 
 
 class History:
-    """Events of one run, sorted by time when read."""
+    """Events of one run, in any order; `of` sorts them by time."""
 
     def __init__(self, events: list[Event] | None = None):
         self.events: list[Event] = list(events or [])
@@ -163,7 +163,7 @@
     def of(self, kind: type[Kind]) -> list[Kind]:
         """Return the events of one kind, oldest first."""
         found = [event for event in self.events if isinstance(event, kind)]
-        return sorted(found, key=_time)
+        return sorted(found, key=_event_time)
 
     def team_of(self, request_id: str) -> str:
         """Return the team that sent an id, or an empty string."""
@@ -174,7 +174,7 @@
 
 
 class Recorder:
-    """Writes what the sessions of a run see into a history."""
+    """Records the events of a run's caller sessions in a history."""
 
     def __init__(self) -> None:
         self.history = History()
@@ -200,44 +200,44 @@
         session.hooks.register(cassiaquay.hooks.OUTCOME, outcome)
 
     def record_outcome(self, request_id: str, outcome: str, code: str) -> None:
-        """Record what a caller was told of an id."""
+        """Record the outcome of an id that was reported to its caller."""
         self.history.events.append(
             OutcomeReported(time.time(), request_id, outcome, code)
         )
 
     def record_answer(self, answer: cassiaquay.Answer, team: str) -> None:
-        """Record a whole answer of a model engine."""
+        """Record the complete answer of a model engine."""
         self.record_text(answer.request_id, team, answer.text, answer.count)
 
     def record_text(self, request_id: str, team: str, text: str, length: int) -> None:
-        """Record the text of a whole answer that should have ``length`` tokens."""
+        """Record the text of a complete answer that should have ``length`` tokens."""
         self.history.events.append(
             Answered(time.time(), request_id, team, text, length)
         )
 
     def record_server_leaving(self, server: str) -> None:
-        """Record that the list shows a backend server as leaving."""
+        """Record that the instance list shows a backend server as leaving."""
         self.history.events.append(ServerLeaving(time.time(), server))
 
 
-async def collect(started: cluster.Cluster, history: History) -> None:
+async def collect(running_cluster: cluster.Cluster, history: History) -> None:
     """Add the log lines of all daemons and back ends of a cluster."""
-    # Daemons write their lines in batches; those of the last moment are on their way.
-    await asyncio.sleep(SETTLE_BATCHES * log_writer.GATHER_SECONDS)
-    collect_daemons(started, history)
-    await collect_back_ends(started, history)
+    # Daemons write log lines in batches; the last ones may not be written yet.
+    await asyncio.sleep(AWAITED_LOG_BATCHES * log_writer.GATHER_SECONDS)
+    collect_daemons(running_cluster, history)
+    await collect_back_ends(running_cluster, history)
 
 
-def collect_daemons(started: cluster.Cluster, history: History) -> None:
+def collect_daemons(running_cluster: cluster.Cluster, history: History) -> None:
     """Add the log lines of all daemons, which may have stopped."""
-    for process in started.daemons.values():
+    for process in running_cluster.daemons.values():
         history.events += read_log(process.lines())
 
 
-async def collect_back_ends(started: cluster.Cluster, history: History) -> None:
-    """Add the own logs of all back ends."""
-    for name, address in started.addresses.items():
-        log = await started.control(address, "GET", "/control/log")
+async def collect_back_ends(running_cluster: cluster.Cluster, history: History) -> None:
+    """Add the log entries of all back ends."""
+    for name, address in running_cluster.addresses.items():
+        log = await running_cluster.control(address, "GET", "/control/log")
         for line in log.get("dispatches", []) + log.get("runs", []):
             history.events.append(
                 Arrived(line["at"], name, line["id"], str(line["state"]))
@@ -253,7 +253,7 @@
         try:
             fields = json.loads(line)
         except ValueError:
-            # A process that was killed may leave half a line.
+            # A killed process may leave an incomplete line.
             continue
         event = _read_line(fields)
         if event is not None:
@@ -292,5 +292,5 @@
     return None
 
 
-def _time(event: typing.Any) -> float:
+def _event_time(event: typing.Any) -> float:
     return float(event.at)
--- a/packages/dev/cassiaquay_dev/trials/path_client.py
+++ b/packages/dev/cassiaquay_dev/trials/path_client.py
@@ -1,4 +1,4 @@
-"""Closed-loop streams over raw HTTP, cheap enough to measure others.
+"""Closed-loop streams over raw HTTP, with little overhead for use in measurements.
 
 Run as ``python -m cassiaquay_dev.trials.path_client --config FILE.json`` with the
 fields of `ClientSettings`; prints one JSON line, a `ClientResult`.
@@ -16,30 +16,30 @@
 import uvloop
 
 LAST_CHUNK = b"0\r\n\r\n"
-EVENT = b"id: "
+EVENT_MARKER = b"id: "
 
 
 class ClientSettings(typing.NamedTuple):
-    """What is sent.
+    """Settings of the client process.
 
     Attributes
     ----------
     address : str
         host:port.
     path : str
-        Path of a request without the unique part of its id.
+        Path of a request, without the unique suffix of its id.
     authorization : str
-        Value of that header.
+        Value of the Authorization header.
     body : dict
-        Fields of each request but ``max_tokens``.
+        Fields of each request body except ``max_tokens``.
     tokens : int
-        Mean length of the answers, which are half to one and a half times as long.
+        Mean length of the answers; lengths are uniform from half to 1.5 times it.
     streams : int
-        Streams open at a time.
+        Number of concurrent streams.
     spread : float
-        Seconds over which the streams start.
+        Seconds over which the starts of the streams are spread.
     warm_up, seconds : float
-        Time before the measurement, and its length.
+        Time before the measurement, and its duration.
     """
 
     address: str
@@ -54,14 +54,14 @@
 
 
 class ClientResult(typing.TypedDict):
-    """What came back inside the measured time.
+    """Responses received within the measured time.
 
     Attributes
     ----------
     requests, tokens : int
-        Whole answers and events.
+        Complete answers and events.
     refused : int
-        Answers with another status than 200.
+        Responses with a status other than 200, including the warm-up.
     first_ms : list of float
         Time to the first event of each request.
     """
@@ -73,15 +73,15 @@
 
 
 class _Stream(asyncio.Protocol):
-    """One connection that sends the next request when an answer has ended."""
+    """A connection that sends the next request when the answer is complete."""
 
     def __init__(self, client: "Client", number: int):
         self._client = client
         self._number = number
-        self._source = random.Random(f"{client.name}-{number}")
+        self._rng = random.Random(f"{client.name}-{number}")
         self._sent = 0
         self._sent_at = 0.0
-        self._waits_first = False
+        self._is_awaiting_first = False
         self._tail = b""
         self._transport: asyncio.Transport | None = None
 
@@ -92,26 +92,26 @@
     def data_received(self, data: bytes) -> None:
         client = self._client
         now = time.perf_counter()
-        counts = client.starts <= now < client.ends
-        if self._waits_first:
-            self._waits_first = False
+        is_measured = client.measured_from <= now < client.measured_until
+        if self._is_awaiting_first:
+            self._is_awaiting_first = False
             if not data.startswith(b"HTTP/1.1 200"):
                 client.result["refused"] += 1
-            if counts:
+            if is_measured:
                 client.result["first_ms"].append((now - self._sent_at) * 1000.0)
-        if counts:
-            client.result["tokens"] += data.count(EVENT)
+        if is_measured:
+            client.result["tokens"] += data.count(EVENT_MARKER)
         self._tail = (self._tail + data)[-len(LAST_CHUNK) :]
         if not self._tail.endswith(LAST_CHUNK):
             return
         self._tail = b""
-        if counts:
+        if is_measured:
             client.result["requests"] += 1
-        if now < client.ends:
+        if now < client.measured_until:
             self._send()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Nothing is sent again: a lost connection shows as missing tokens."""
+        """Do not reconnect; a lost connection shows as missing tokens."""
 
     def close(self) -> None:
         if self._transport is not None:
@@ -120,47 +120,47 @@
     def _send(self) -> None:
         assert self._transport is not None
         settings = self._client.settings
-        unique = f"{self._client.name}-{self._number}-{self._sent}"
+        unique_id = f"{self._client.name}-{self._number}-{self._sent}"
         self._sent += 1
-        # Answers of one length would end together, and the next requests begin so.
+        # With equal lengths, answers would end and requests start at the same time.
         half = settings.tokens // 2
-        count = self._source.randint(half, half + settings.tokens)
+        count = self._rng.randint(half, half + settings.tokens)
         body = json.dumps(settings.body | {"max_tokens": count}).encode()
         head = (
-            f"POST {settings.path}{unique} HTTP/1.1\r\nhost: {settings.address}\r\n"
+            f"POST {settings.path}{unique_id} HTTP/1.1\r\nhost: {settings.address}\r\n"
             f"authorization: {settings.authorization}\r\n"
             f"content-type: application/json\r\ncontent-length: {len(body)}\r\n\r\n"
         )
-        self._waits_first = True
+        self._is_awaiting_first = True
         self._sent_at = time.perf_counter()
         self._transport.write(head.encode() + body)
 
 
 class Client:
-    """All streams of one process.
+    """The streams of one client process.
 
     Parameters
     ----------
     settings : ClientSettings
-        What is sent.
+        Settings of the process.
     name : str
-        Makes the ids unique.
+        Prefix that makes request ids unique.
     """
 
     def __init__(self, settings: ClientSettings, name: str):
         self.settings = settings
         self.name = name
-        self.starts = 0.0
-        self.ends = 0.0
+        self.measured_from = 0.0
+        self.measured_until = 0.0
         self.result = ClientResult(requests=0, tokens=0, refused=0, first_ms=[])
 
     async def run(self) -> ClientResult:
-        """Return what came back."""
+        """Run all streams and return the measured result."""
         settings = self.settings
         loop = asyncio.get_running_loop()
         host, _, port = settings.address.partition(":")
-        self.starts = time.perf_counter() + settings.spread + settings.warm_up
-        self.ends = self.starts + settings.seconds
+        self.measured_from = time.perf_counter() + settings.spread + settings.warm_up
+        self.measured_until = self.measured_from + settings.seconds
         streams = []
         for number in range(settings.streams):
             _, stream = await loop.create_connection(
@@ -168,7 +168,7 @@
             )
             streams.append(stream)
             await asyncio.sleep(settings.spread / settings.streams)
-        await asyncio.sleep(max(self.ends - time.perf_counter(), 0.0))
+        await asyncio.sleep(max(self.measured_until - time.perf_counter(), 0.0))
         for stream in streams:
             stream.close()
         return self.result
--- a/packages/dev/cassiaquay_dev/trials/workloads.py
+++ b/packages/dev/cassiaquay_dev/trials/workloads.py
@@ -1,4 +1,4 @@
-"""Seeded workloads: who asks what, when."""
+"""Seeded workloads: requests with team, service and time of arrival."""
 
 import random
 import typing
@@ -16,19 +16,19 @@
     at : float
         Seconds after the start.
     team, tier, service : str
-        Names.
+        Sending team, and names of the tier and the service.
     session : str
-        Requests of one session share the beginning of their prompt.
+        Name of the session, whose requests share a prompt prefix; may be empty.
     prompt : str
-        Empty for plain services.
+        Text of the prompt; empty for plain services.
     max_tokens : int
-        Length of the answer.
+        Length of the answer in tokens.
     path : str
-        Empty for model engines.
+        Path of a call to a plain service; empty for model engines.
     deadline : float
-        Seconds in which the answer is of use.
+        Seconds from arrival until the answer is useless.
     idempotent : bool
-        False: nothing may run it twice.
+        Whether the request may run more than once.
     """
 
     at: float
@@ -43,12 +43,12 @@
     idempotent: bool
 
 
-def text(random_source: random.Random, tokens: int) -> str:
-    """Return a text of about ``tokens`` tokens of four characters."""
+def text(rng: random.Random, tokens: int) -> str:
+    """Return a random text of ``tokens`` tokens of four characters."""
     words = []
     length = 0
     while length < tokens * 4:
-        word = f"{random_source.choice(WORDS)}{random_source.randrange(1000)} "
+        word = f"{rng.choice(WORDS)}{rng.randrange(1000)} "
         words.append(word)
         length += len(word)
     return "".join(words)[: tokens * 4]
@@ -57,39 +57,42 @@
 def mixed(
     deployment: deployments.Deployment, seed: int, seconds: float, rate: float
 ) -> list[Arrival]:
-    """Return short questions, long histories and bookings, a hundredfold apart."""
-    source = random.Random(seed)
+    """Return a mix of short questions, long histories and bookings.
+
+    Their lengths differ by a factor of about a hundred.
+    """
+    rng = random.Random(seed)
     histories: dict[str, str] = {}
     arrivals = []
-    at = source.expovariate(rate)
+    at = rng.expovariate(rate)
     while at < seconds:
-        arrivals.append(_one(deployment, source, at, histories))
-        at += source.expovariate(rate)
+        arrivals.append(_draw_arrival(deployment, rng, at, histories))
+        at += rng.expovariate(rate)
     return arrivals
 
 
-def _one(
+def _draw_arrival(
     deployment: deployments.Deployment,
-    source: random.Random,
+    rng: random.Random,
     at: float,
     histories: dict[str, str],
 ) -> Arrival:
     shares = [team.share for team in deployment.teams]
-    team = source.choices(deployment.teams, shares)[0]
-    tier = source.choices(deployment.tiers, [0.15, 0.35, 0.3, 0.2])[0]
-    kind = source.choices(["question", "history", "booking"], [0.6, 0.2, 0.2])[0]
+    team = rng.choices(deployment.teams, shares)[0]
+    tier = rng.choices(deployment.tiers, [0.15, 0.35, 0.3, 0.2])[0]
+    kind = rng.choices(["question", "history", "booking"], [0.6, 0.2, 0.2])[0]
     if kind == "booking":
         path = "/book"
         service = deployment.plain_service
         return Arrival(at, team, tier, service, "", "", 1, path, 5.0, False)
     service = deployment.model_service
     if kind == "question":
-        prompt = text(source, source.randint(20, 60))
-        length = source.randint(8, 40)
+        prompt = text(rng, rng.randint(20, 60))
+        length = rng.randint(8, 40)
         return Arrival(at, team, tier, service, "", prompt, length, "", 6.0, True)
-    session = f"{team.name}-{source.randrange(6)}"
+    session = f"{team.name}-{rng.randrange(6)}"
     if session not in histories:
-        histories[session] = text(source, source.randint(2000, 5000))
-    prompt = histories[session] + text(source, 60)
-    length = source.randint(60, 160)
+        histories[session] = text(rng, rng.randint(2000, 5000))
+    prompt = histories[session] + text(rng, 60)
+    length = rng.randint(60, 160)
     return Arrival(at, team, tier, service, session, prompt, length, "", 15.0, True)
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""The bench: its bound and figures by hand, its workloads, and one small run."""
+"""The bench: bound and metrics against values by hand, workloads, one small run."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 )
 
 TEAM = deployments.BRINDLEY.teams[0]
-# 1 ms a generated token with a full batch, 1000 prompt tokens a second.
+# 1 ms per generated token with a full batch, 1000 prompt tokens per second.
 ENGINE = deployments.EngineSpec("engine-1", "derby", 1000.0, 0.0, 1, 100_000)
 DECODE_MS = 1.0
 
@@ -46,14 +46,14 @@
     return bounds.bound(pool, found, ["urgent", "standard"])
 
 
-def test_bound_is_what_fits_into_the_window() -> None:
-    # Each is 0.5 s of tokens and 1 ms of prompt; one window of 1 s (and its slots).
+def test_bound_equals_the_capacity_of_the_window() -> None:
+    # Each takes 0.5 s for tokens and 1 ms for the prompt, in one window of 1 s.
     limit = bound_of([arrival() for _ in range(5)])
     assert limit.without_tiers == pytest.approx(1.0 / 0.501, rel=1e-6)
     assert limit.finishable == {"urgent": 5, "standard": 0}
 
 
-def test_bound_by_strict_order_serves_long_urgent_work_first() -> None:
+def test_strict_bound_serves_long_urgent_requests_first() -> None:
     long = arrival(tokens=900)
     short = [arrival(tier="standard", tokens=99) for _ in range(10)]
     limit = bound_of([long, *short])
@@ -62,35 +62,35 @@
     assert limit.without_tiers == pytest.approx(10.0, abs=0.01)
 
 
-def test_bound_leaves_out_what_no_idle_engine_finishes_in_time() -> None:
+def test_bound_excludes_requests_that_no_idle_engine_finishes_in_time() -> None:
     limit = bound_of([arrival(tokens=1500)])
     assert limit.finishable["urgent"] == 0
     assert limit.strict == 0.0
 
 
-def test_bound_follows_an_engine_that_is_lost() -> None:
+def test_bound_excludes_the_work_of_a_lost_engine() -> None:
     found = bounds.needs([arrival(), arrival(at=1.0)])
     pool = bounds.Pool([ENGINE], DECODE_MS, found)
     limit = bounds.bound(pool, found, ["urgent"], lambda at: 1.0 if at < 1 else 0.0)
     assert limit.strict == pytest.approx(1.0)
 
 
-def test_windows_that_overlap_share_the_work_between_them() -> None:
-    # Two windows of 1 s, half a second apart: 1.5 s of work at most for both.
+def test_overlapping_windows_share_their_capacity() -> None:
+    # Two windows of 1 s that start 0.5 s apart have 1.5 s of capacity in total.
     first = [arrival(tokens=499) for _ in range(2)]
     second = [arrival(at=0.5, tokens=499) for _ in range(2)]
     limit = bound_of(first + second)
     assert limit.without_tiers == pytest.approx(3.0, rel=1e-6)
 
 
-def test_needs_count_what_an_oracle_has_cached() -> None:
+def test_needs_count_prompt_tokens_of_earlier_requests_as_cached() -> None:
     prompt = "a" * 256 * 3
     found = bounds.needs([arrival(prompt=prompt), arrival(prompt=prompt + "b" * 8)])
     assert [need.cached_tokens for need in found] == [0, 192]
     assert [need.fresh_tokens for need in found] == [192, 2]
 
 
-def test_rate_gives_the_work_that_is_asked_for() -> None:
+def test_rate_for_offers_the_requested_load() -> None:
     deployment = deployments.BRINDLEY
     workload = bench_workloads.registered.get("brindley-evening")
 
@@ -104,12 +104,12 @@
     assert work == pytest.approx(2.0 * pool.speed * 5.0, rel=0.2)
 
 
-def test_jain_index() -> None:
+def test_jain_index_of_equal_and_unequal_shares() -> None:
     assert fairness.jain([1.0, 1.0, 1.0]) == pytest.approx(1.0)
     assert fairness.jain([1.0, 0.0, 0.0, 0.0]) == pytest.approx(0.25)
 
 
-def test_fair_shares_fill_the_small_first() -> None:
+def test_fair_shares_satisfy_small_demands_first() -> None:
     wanted = {"small": 10.0, "large": 100.0, "huge": 100.0}
     weights = {"small": 1.0, "large": 1.0, "huge": 2.0}
     shares = fairness.fair_shares(wanted, weights, 100.0)
@@ -126,12 +126,12 @@
     return record
 
 
-def test_fairness_is_judged_inside_each_tier() -> None:
-    # All urgent work is served and no other: fair, though only one team sent any.
+def test_fairness_compares_teams_within_each_tier() -> None:
+    # All urgent requests are served and no others: fair, though one team sent them.
     served = [record_of(0, "urgent", True) for _ in range(3)]
     starved = [record_of(team, "standard", False) for team in (0, 1, 2)]
     assert fairness.fairness(served + starved, deployments.BRINDLEY) == 1.0
-    # One of two equal teams gets everything of a tier.
+    # One of two equal teams is served all tokens of a tier.
     unfair = [record_of(0, "standard", True), record_of(1, "standard", False)]
     unfair += [record_of(0, "standard", True), record_of(1, "standard", False)]
     found = fairness.fairness(unfair, deployments.BRINDLEY)
@@ -179,7 +179,7 @@
     assert found.oracle_share == pytest.approx(128 / 256)
 
 
-def test_work_splits_the_busy_time() -> None:
+def test_work_breaks_down_the_busy_time() -> None:
     spec = ENGINE._replace(step_ms=10.0)
     line: engine_stream.Dispatch = {
         "id": "a",
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("name", bench_workloads.registered.names())
-def test_workloads_depend_on_the_seed_only(name: str) -> None:
+def test_workloads_are_determined_by_their_seed(name: str) -> None:
     workload = bench_workloads.registered.get(name)
     deployment = deployments.deployments.get(name.partition("-")[0])
     first = bench_workloads.build(workload, deployment, 4, 3.0, 30.0)
@@ -211,7 +211,7 @@
     assert max(lengths) > 10 * min(lengths)
 
 
-def test_path_table_gives_medians_and_what_the_daemon_adds() -> None:
+def test_path_table_shows_medians_and_added_latency() -> None:
     settings = bench_path.PathSettings(aim=2000)
     phases = {}
     for way, first in (("direct", 1.0), ("daemon", 3.0)):
@@ -226,7 +226,7 @@
     assert "| daemon 1000/s | 1000 | 20 | 4 | 9 | 0.1 | 0 | 100.0 |" in text
 
 
-def test_fast_stand_in_and_clients_agree_on_what_was_sent(
+def test_path_client_counts_what_the_fast_engine_sends(
     tmp_path: pathlib.Path,
 ) -> None:
     async def run() -> path_client.ClientResult:
@@ -248,11 +248,11 @@
     assert result["refused"] == 0
     assert result["requests"] > 0
     assert len(result["first_ms"]) - result["requests"] in range(4)
-    # Answers of 4 have 2 to 6 events; three streams may be under way at the end.
+    # Answers of mean length 4 have 2 to 6 events; 3 streams may be open at the end.
     assert 2 * result["requests"] <= result["tokens"] <= 6 * (result["requests"] + 3)
 
 
-def test_small_bench_gives_whole_results(tmp_path: pathlib.Path) -> None:
+def test_small_bench_run_writes_complete_results(tmp_path: pathlib.Path) -> None:
     plan = bench_runs.Plan("brindley", "brindley-evening", 0.2, "none", 2.0, 2.0, 2)
     runs = [asyncio.run(bench_runs.run(plan, "round-robin", 1))]
     text = bench_report.write(plan, runs, tmp_path)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,11 +1,11 @@
-"""Each check of the history checker rejects a history in which its promise breaks."""
+"""Each check of the history checker rejects histories that violate its promise."""
 
 import pytest
 
 from cassiaquay_dev.standins import texts
 from cassiaquay_dev.trials import checker, history
 
-GOOD = history.History(
+VALID_HISTORY = history.History(
     [
         history.Started(0.0, "cq-1", "a"),
         history.InForce(0.5, "cq-1", 1),
@@ -29,7 +29,7 @@
     ]
 )
 
-BROKEN: list[tuple[str, list[history.Event]]] = [
+VIOLATIONS: list[tuple[str, list[history.Event]]] = [
     (
         "at_most_one_dispatch",
         [history.Arrived(1.3, "tutor-2", "t~1~questions", "finished")],
@@ -99,17 +99,17 @@
 ]
 
 
-def test_a_history_that_keeps_every_promise_passes():
-    assert checker.check(GOOD) == []
+def test_history_without_violations_passes_all_checks():
+    assert checker.check(VALID_HISTORY) == []
 
 
-@pytest.mark.parametrize(("promise", "events"), BROKEN)
-def test_a_broken_promise_is_found_by_its_own_check(
+@pytest.mark.parametrize(("promise", "events"), VIOLATIONS)
+def test_violation_is_reported_by_its_own_check_only(
     promise: str, events: list[history.Event]
 ) -> None:
-    broken = history.History([*GOOD.events, *events])
-    assert {breach.promise for breach in checker.check(broken)} == {promise}
+    violating = history.History([*VALID_HISTORY.events, *events])
+    assert {breach.promise for breach in checker.check(violating)} == {promise}
 
 
 def test_every_check_has_a_history_that_it_rejects():
-    assert {promise for promise, _ in BROKEN} == set(checker.checks.names())
+    assert {promise for promise, _ in VIOLATIONS} == set(checker.checks.names())
