--- a/tests/test_faults_leaving.py
+++ b/tests/test_faults_leaving.py
@@ -75,7 +75,7 @@
                     )
                     await _until_listed(run, leaving.name)
                     run.recorder.record_server_leaving(leaving.name)
-                await asyncio.sleep(checker.LEAVING_SECONDS * 2 / 40)
+                await asyncio.sleep(checker.LEAVING_GRACE_SECONDS * 2 / 40)
             for one in await asyncio.gather(*asked):
                 assert isinstance(one, cassiaquay.Answer), one
             servers = {event.server for event in await run.arrivals()}
