--- a/packages/dev/cassiaquay_dev/lab/__main__.py
+++ b/packages/dev/cassiaquay_dev/lab/__main__.py
@@ -58,8 +58,8 @@
     seed_numbers = range(seed, seed + seeds)
     if ablate:
         known = mechanisms.mechanisms.names()
-        found = ablation.ablate(selected_day, seed_numbers, known, workers)
-        print("\n".join(ablation.table(found)))
+        result = ablation.ablate(selected_day, seed_numbers, known, workers)
+        print("\n".join(ablation.table(result)))
         return
     for number in seed_numbers:
         _print_day(selected_day, number, names, by_second)
@@ -68,20 +68,20 @@
 def _print_day(day: days.Day, seed: int, without: list[str], by_second: bool) -> None:
     started_at = time.monotonic()
     with mechanisms.switched_off(without):
-        found = virtual_time.run(simulation.play(day, seed))
+        result = virtual_time.run(simulation.play(day, seed))
     seconds = time.monotonic() - started_at
-    print(f"seed {seed}: {len(found.ended)} requests in {seconds:.1f} s")
-    print("\n".join(kinds_table(day, found)))
+    print(f"seed {seed}: {len(result.ended)} requests in {seconds:.1f} s")
+    print("\n".join(kinds_table(day, result)))
     if by_second:
-        print("\n".join(seconds_table(found)))
+        print("\n".join(seconds_table(result)))
     sys.stdout.flush()
 
 
-def kinds_table(day: days.Day, found: simulation.DayResult) -> list[str]:
+def kinds_table(day: days.Day, result: simulation.DayResult) -> list[str]:
     """Return the lines of a table of outcomes by kind of request."""
     lines = [f"{'kind':10} {'count':>6} {'worth':>6}  in time, late, refused, left"]
     for name in [*day.kinds, ""]:
-        items = [item for item in found.ended if name in ("", item.request.kind)]
+        items = [item for item in result.ended if name in ("", item.request.kind)]
         counts = collections.Counter(item.outcome for item in items)
         shares = [f"{counts[outcome] / max(len(items), 1):.3f}" for outcome in OUTCOMES]
         line = f"{name or 'all':10} {len(items):6} {simulation.worth(items):6.3f}  "
@@ -89,16 +89,16 @@
     return lines
 
 
-def seconds_table(found: simulation.DayResult) -> list[str]:
+def seconds_table(result: simulation.DayResult) -> list[str]:
     """Return the lines of a table of outcomes and engine load by second of arrival."""
     lines = [
         "second  came worth  in time, late, refused, left | fast slow queued waiting"
     ]
     ended = collections.defaultdict(list)
-    for item in found.ended:
+    for item in result.ended:
         ended[int(item.request.at)].append(item)
     samples = collections.defaultdict(list)
-    for sample in found.samples:
+    for sample in result.samples:
         samples[int(sample.at)].append(sample)
     for second in sorted(ended):
         items = ended[second]
--- a/packages/dev/cassiaquay_dev/lab/ownership_model.py
+++ b/packages/dev/cassiaquay_dev/lab/ownership_model.py
@@ -52,14 +52,14 @@
         State of each id in the owner's table.
     runs : tuple of int
         Number of dispatches that reached a back end, by id; counted up to 2.
-    told : tuple of str
+    reported : tuple of str
         Outcome reported to the caller, by id.
     posted, cancelled : tuple of bool
         Whether a POST or cancel of the id was sent; from then on the network may
         deliver it at any moment and any number of times.
     expired : bool
         Whether the ids' token has expired.
-    reborn : bool
+    replaced : bool
         Whether the owner was replaced by another incarnation.
     """
 
--- a/packages/dev/cassiaquay_dev/lab/simulation.py
+++ b/packages/dev/cassiaquay_dev/lab/simulation.py
@@ -98,8 +98,8 @@
         self.ended: list[EndedRequest] = []
         self.samples: list[Sample] = []
         self.refused_at: list[float] = []
-        self._began_at = 0.0
-        self._chance = random.Random(seed)
+        self._load_started_at = 0.0
+        self._rng = random.Random(seed)
         self._snapshot = instances.snapshot(day)
         names = [f"daemon-{number:03}" for number in range(day.instances)]
         zones = {
@@ -121,11 +121,11 @@
         for instance in self.instances:
             instance.start()
         await asyncio.sleep(WARM_UP_SECONDS)
-        began_at = self._began_at = clock.now()
+        load_started_at = self._load_started_at = clock.now()
         sampler = asyncio.create_task(self._sample())
         callers = []
         for request in requests:
-            await asyncio.sleep(max(began_at + request.at - clock.now(), 0.0))
+            await asyncio.sleep(max(load_started_at + request.at - clock.now(), 0.0))
             callers.append(asyncio.create_task(self._run_caller(request)))
         await asyncio.gather(*callers)
         sampler.cancel()
@@ -141,7 +141,7 @@
         outcome = ABANDONED
         number = 0
         for number in range(1, MAX_ATTEMPTS + 1):
-            instance = self._chance.choice(self.instances)
+            instance = self._rng.choice(self.instances)
             await asyncio.sleep(self.day.caller_ms / 1000.0)
             attempt = instances.call(
                 self.day,
@@ -161,7 +161,7 @@
                 break
             except exceptions.Refusal as refusal:
                 outcome = REFUSED
-                self.refused_at.append(clock.now() - self._began_at)
+                self.refused_at.append(clock.now() - self._load_started_at)
                 retry_at = clock.now() + (refusal.retry_after_ms or 0) / 1000.0
                 if retry_at >= gives_up_at:
                     break
@@ -205,7 +205,7 @@
             for instance in self.instances:
                 for shard in instance.keeper.shards.values():
                     waiting += len(shard.queue)
-            now = clock.now() - self._began_at
+            now = clock.now() - self._load_started_at
             self.samples.append(Sample(now, busy[True], busy[False], queued, waiting))
             await asyncio.sleep(SAMPLE_SECONDS)
 
@@ -219,7 +219,7 @@
         self._due_at = arrived_at + objective
         self._pause = pause
 
-    def event(self) -> None:
+    def record_event(self) -> None:
         """Record an event that arrives now."""
         now = clock.now()
         if now > self._due_at:
@@ -232,11 +232,11 @@
 def _event_recorder(
     ticket: admission.Ticket, monitor: _LatenessMonitor
 ) -> typing.Callable[[], None]:
-    def event() -> None:
+    def record_event() -> None:
         ticket.tally.add(1)
-        monitor.event()
+        monitor.record_event()
 
-    return event
+    return record_event
 
 
 def earned_worth(item: EndedRequest) -> float:
--- a/packages/dev/cassiaquay_dev/trials/bench_metrics.py
+++ b/packages/dev/cassiaquay_dev/trials/bench_metrics.py
@@ -36,14 +36,14 @@
     ----------
     done, wasted : int
         Prefilled tokens, and those of requests that were not answered in time.
-    asked, cached, oracle : int
+    looked_up, cached, oracle : int
         Tokens of all dispatched prompts, those found in the engine's cache, and those
         that an oracle with the contents of all caches would have found.
     """
 
     done: int
     wasted: int
-    asked: int
+    looked_up: int
     cached: int
     oracle: int
 
@@ -114,7 +114,7 @@
     useful = {record.key for record in records if record.in_time}
     logged = [line for engine in engines for line in engine.dispatches]
     known_blocks: set[int] = set()
-    done = wasted = asked = cached = oracle = 0
+    done = wasted = looked_up = cached = oracle = 0
     for line in sorted(logged, key=lambda line: line["at"]):
         done += line["prefilled_tokens"]
         if line["id"] not in useful:
@@ -124,13 +124,13 @@
         if not line["cached_tokens"] and not line["prefilled_tokens"]:
             # The engine never admitted it, so its cache was not looked up.
             continue
-        asked += line["prompt_tokens"]
+        looked_up += line["prompt_tokens"]
         cached += line["cached_tokens"]
         for block in blocks.block_hashes(by_key[line["id"]].arrival.prompt):
             if block in known_blocks:
                 oracle += blocks.TOKENS_PER_BLOCK
             known_blocks.add(block)
-    return Prefill(done, wasted, asked, cached, oracle)
+    return Prefill(done, wasted, looked_up, cached, oracle)
 
 
 def work(engine: EngineFigures, spec: deployments.EngineSpec, decode_ms: float) -> Work:
@@ -238,7 +238,7 @@
         prefill_tokens=tokens.done,
         wasted_prefill_share=tokens.wasted_share,
         cached_tokens=tokens.cached,
-        cached_share=tokens.cached / max(tokens.asked, 1),
+        cached_share=tokens.cached / max(tokens.looked_up, 1),
         oracle_cached_share=tokens.oracle_share,
         first_ms=_percentiles([record.first_seconds for record in done]),
         gap_ms=_percentiles([gap for record in done for gap in record.gaps]),
--- a/packages/dev/cassiaquay_dev/trials/bounds.py
+++ b/packages/dev/cassiaquay_dev/trials/bounds.py
@@ -179,13 +179,13 @@
         # _available[a, b]: work that slots a..b-1 can still do for windows inside them.
         self._available = sums[None, :] - sums[:, None]
 
-    def allocate(self, start: int, end: int, wanted: float) -> float:
-        """Allocate up to ``wanted`` work in slots ``start`` to ``end - 1``.
+    def allocate(self, start: int, end: int, requested: float) -> float:
+        """Allocate up to ``requested`` work in slots ``start`` to ``end - 1``.
 
         Returns the allocated work.
         """
         enclosing = self._available[: start + 1, end:]
-        allocated = max(min(wanted, float(enclosing.min())), 0.0)
+        allocated = max(min(requested, float(enclosing.min())), 0.0)
         enclosing -= allocated
         return allocated
 
--- a/packages/dev/cassiaquay_dev/trials/checker.py
+++ b/packages/dev/cassiaquay_dev/trials/checker.py
@@ -41,8 +41,8 @@
     """Require that a request is dispatched to a back end at most once."""
     arrivals = collections.Counter(event.key for event in recorded.of(history.Arrived))
     sends = collections.Counter(event.id for event in recorded.of(history.Dispatched))
-    found = [f"{key} came {n} times" for key, n in arrivals.items() if n > 1]
-    found += [f"{name} was sent {n} times" for name, n in sends.items() if n > 1]
+    found = [f"{key} arrived {n} times" for key, n in arrivals.items() if n > 1]
+    found += [f"{name} was dispatched {n} times" for name, n in sends.items() if n > 1]
     return found
 
 
@@ -60,7 +60,7 @@
     found = []
     for request_id, reporter in refused.items():
         if request_id in arrived:
-            found.append(f"{request_id} ran though {reporter} has it as not run")
+            found.append(f"{request_id} ran though {reporter} recorded it as not run")
     return found
 
 
@@ -71,7 +71,7 @@
     for answer in recorded.of(history.Answered):
         key = f"{answer.id}~{answer.team}"
         if answer.text != texts.expected_answer(key, answer.length):
-            found.append(f"{answer.id} got another text")
+            found.append(f"{answer.id} was answered with a wrong text")
     lengths = {event.id: event.length for event in recorded.of(history.Answered)}
     for report in recorded.of(history.OutcomeReported):
         if report.outcome == "completed" and lengths.get(report.id, 1) == 0:
@@ -107,7 +107,9 @@
             continue
         delay = event.at - since[event.server]
         if delay > LEAVING_GRACE_SECONDS:
-            found.append(f"{event.key} came to {event.server} {delay:.1f} s late")
+            found.append(
+                f"{event.key} arrived at {event.server} {delay:.1f} s after the notice"
+            )
     return found
 
 
@@ -120,11 +122,11 @@
     for leaving in recorded.of(history.InstanceLeaving):
         ends = [at for name, at in stops if name == leaving.instance]
         if not [at for at in ends if at >= leaving.at]:
-            found.append(f"{leaving.instance} never ended its planned stop")
+            found.append(f"{leaving.instance} did not complete its planned stop")
             continue
-        begun = _started_at(recorded, leaving)
+        started_at = _started_at(recorded, leaving)
         for event in recorded.of(history.Dispatched):
-            if event.instance != leaving.instance or event.at < begun:
+            if event.instance != leaving.instance or event.at < started_at:
                 continue
             if event.at <= min(at for at in ends if at >= leaving.at):
                 if event.id not in ended:
@@ -134,11 +136,11 @@
 
 
 def _started_at(recorded: history.History, leaving: history.InstanceLeaving) -> float:
-    begun = 0.0
+    started_at = 0.0
     for event in recorded.of(history.Started):
         if event.instance == leaving.instance and event.at <= leaving.at:
-            begun = event.at
-    return begun
+            started_at = event.at
+    return started_at
 
 
 def _cut_while_leaving(recorded: history.History) -> list[str]:
@@ -154,29 +156,29 @@
 
 @checks.register("configuration_monotone")
 def configuration_monotone(recorded: history.History) -> list[str]:
-    """Require that the revision in force at an instance never decreases.
+    """Require that each revision in force at an instance is newer than the last.
 
-    After a restart a lower revision is allowed if no instance had a newer one.
+    After a restart the same revision may come into force again, but no older one.
     """
     found = []
     newest: dict[str, int] = {}
-    begun = collections.Counter[str]()
+    start_counts = collections.Counter[str]()
     highest = 0
     events: list[history.Started | history.InForce] = [
         *recorded.of(history.Started),
         *recorded.of(history.InForce),
     ]
-    for event in sorted(events, key=lambda one: one.at):
+    for event in sorted(events, key=lambda event: event.at):
         if isinstance(event, history.Started):
-            begun[event.instance] += 1
+            start_counts[event.instance] += 1
             continue
-        before = newest.get(event.instance, 0)
-        if event.revision <= before and begun[event.instance] < 2:
-            found.append(f"{event.instance}: {event.revision} after {before}")
-        elif event.revision < before and highest > event.revision:
-            # The instance restarted with an older revision than one already in force.
+        previous = newest.get(event.instance, 0)
+        if event.revision <= previous and start_counts[event.instance] < 2:
+            found.append(f"{event.instance}: {event.revision} after {previous}")
+        elif event.revision < previous and highest > event.revision:
+            # After a restart, while a newer revision had been in force.
             found.append(
-                f"{event.instance}: {event.revision} in a new life after {before}"
+                f"{event.instance}: {event.revision} after restart, before {previous}"
             )
         newest[event.instance] = event.revision
         highest = max(highest, event.revision)
@@ -190,7 +192,7 @@
     found = []
     for shed in recorded.of(history.Shed):
         # Limits of a team or service may refuse any tier. Demands that cannot be in
-        # time even on idle engines are refused at once, so their wait is empty.
+        # time even on idle engines are refused at once, so their interval is empty.
         if shed.code not in SHED_CODES:
             continue
         for grant in grants:
