--- a/tests/test_faults_leaving.py
+++ b/tests/test_faults_leaving.py
@@ -75,7 +75,7 @@
                     )
                     await _wait_until_listed_as_leaving(run, leaving.name)
                     run.recorder.record_server_leaving(leaving.name)
-                await asyncio.sleep(checker.LEAVING_SECONDS * 2 / 40)
+                await asyncio.sleep(checker.LEAVING_GRACE_SECONDS * 2 / 40)
             for result in await asyncio.gather(*requests):
                 assert isinstance(result, cassiaquay.Answer), result
             servers = {event.server for event in await run.collect_arrivals()}
