--- a/packages/dev/cassiaquay_dev/network/partition.py
+++ b/packages/dev/cassiaquay_dev/network/partition.py
@@ -21,14 +21,14 @@
     ----------
     name : str
         Name of the instance.
-    owner : Partition
+    partition : Partition
         Decides which instances may connect.
     """
 
-    def __init__(self, name: str, owner: "Partition"):
+    def __init__(self, name: str, partition: "Partition"):
         super().__init__("")
         self._name = name
-        self._partition = owner
+        self._partition = partition
 
     def forward_to(self, target: str) -> str:
         """Forward connections to ``target``; return the proxy's own address."""
--- a/packages/dev/cassiaquay_dev/soak/checks.py
+++ b/packages/dev/cassiaquay_dev/soak/checks.py
@@ -25,6 +25,7 @@
 # A request whose connection closes this soon was not accepted: the daemon closed the
 # connection while the request was on its way.
 CROSSING_SECONDS = 0.2
+# Number of findings that some of the timed checks tolerate.
 MAX_TOLERATED = 3
 # Number of engines that a request may crash before daemons must refuse it.
 CRASH_LIMIT = 3
@@ -137,18 +138,24 @@
 def find_excess_repeats(recorded: records.Records) -> collections.abc.Iterator[str]:
     """Find services with more repeats than the retry budget allows."""
     for service in ("plain", "chat"):
-        first: list[float] = []
-        again: list[float] = []
-        known: set[str] = set()
+        first_run_times: list[float] = []
+        repeat_times: list[float] = []
+        known_attempts: set[str] = set()
         for run in recorded.runs:
             if run.service != service:
                 continue
-            (again if run.request.attempt in known else first).append(run.at)
-            known.add(run.request.attempt)
-        for end in again:
+            (
+                repeat_times
+                if run.request.attempt in known_attempts
+                else first_run_times
+            ).append(run.at)
+            known_attempts.add(run.request.attempt)
+        for end in repeat_times:
             since = end - site.WINDOW_SECONDS - 2.0
-            spent = sum(1 for at in again if since < at <= end)
-            asked = sum(1 for at in first if since - site.WINDOW_SECONDS < at <= end)
+            spent = sum(1 for at in repeat_times if since < at <= end)
+            asked = sum(
+                1 for at in first_run_times if since - site.WINDOW_SECONDS < at <= end
+            )
             if spent > site.RETRY_SHARE * asked + site.RETRY_EXTRA:
                 yield f"{service} got {spent} repeats for {asked} requests"
                 break
@@ -249,12 +256,12 @@
         found = _possible_versions(recorded, attempt, runs.get(attempt.name, []))
         if not found:
             continue
-        mine = reached.setdefault((attempt.daemon, attempt.daemon_start), [])
-        for at, version in mine:
+        handled = reached.setdefault((attempt.daemon, attempt.daemon_start), [])
+        for at, version in handled:
             if at + ROLLBACK_SECONDS < attempt.sent_at and max(found) < version:
                 yield f"{attempt.name} at {attempt.daemon}: back to {max(found)}"
                 break
-        mine.append((attempt.ended_at, min(found)))
+        handled.append((attempt.ended_at, min(found)))
 
 
 @timed_checks.register("draining")
@@ -265,10 +272,10 @@
         attempt = recorded.attempts.get(run.request.attempt)
         if left_at is None or attempt is None:
             continue
-        late = run.at - left_at - DRAIN_SECONDS
+        late_s = run.at - left_at - DRAIN_SECONDS
         start = left_at - site.CONTACT_SECONDS
-        if late > 0.0 and recorded.is_undisturbed(attempt.daemon, start, run.at):
-            yield f"{attempt.name} reached {run.engine} {late:.2f} s late"
+        if late_s > 0.0 and recorded.is_undisturbed(attempt.daemon, start, run.at):
+            yield f"{attempt.name} reached {run.engine} {late_s:.2f} s late"
 
 
 @timed_checks.register("lost")
@@ -282,13 +289,15 @@
         start = attempt.sent_at - site.CONTACT_SECONDS
         if not recorded.faults.is_undisturbed(attempt.daemon, start, attempt.ended_at):
             continue
-        mine = _executed(runs.get(name, []))
-        if any(run.has_engine_fault for run in mine):
+        own_runs = _executed(runs.get(name, []))
+        if any(run.has_engine_fault for run in own_runs):
             continue
-        if not all(_is_engine_undisturbed(recorded, run, attempt) for run in mine):
+        if not all(_is_engine_undisturbed(recorded, run, attempt) for run in own_runs):
             continue
-        if mine or attempt.ended_at - attempt.sent_at > CROSSING_SECONDS:
-            found.append(f"{name} at {attempt.daemon} was dropped, {len(mine)} runs")
+        if own_runs or attempt.ended_at - attempt.sent_at > CROSSING_SECONDS:
+            found.append(
+                f"{name} at {attempt.daemon} was dropped, {len(own_runs)} runs"
+            )
     if len(found) > MAX_TOLERATED:
         yield from found
 
--- a/packages/dev/cassiaquay_dev/soak/site.py
+++ b/packages/dev/cassiaquay_dev/soak/site.py
@@ -14,6 +14,7 @@
 from . import callers, engines, exchange, records
 
 READY_TIMEOUT_SECONDS = 15.0
+# Time without a disturbance after which a daemon must keep its time bounds.
 CONTACT_SECONDS = 3.0
 GRACE_SECONDS = 4.0
 APPLY_SECONDS = 2.0
@@ -26,6 +27,7 @@
 SMALL_BURST = 600.0
 PLAIN_TOKENS = 20
 WINDOW_SECONDS = 8.0
+# Allowed excess over the quota: a share of it, and tokens.
 EXCESS = 0.25
 SLACK = 2000.0
 # Time after which an engine that a request crashed is replaced.
--- a/packages/dev/cassiaquay_dev/standins/raw_servers.py
+++ b/packages/dev/cassiaquay_dev/standins/raw_servers.py
@@ -48,41 +48,45 @@
     ) -> None:
         try:
             while not writer.is_closing():
-                request = await _read(reader)
-                if request is None or not await self._serve(request, reader, writer):
+                request = await _read_request(reader)
+                if request is None or not await self._answer_unless_closed(
+                    request, reader, writer
+                ):
                     return
         except (ConnectionError, asyncio.IncompleteReadError):
             return
 
-    async def _serve(
+    async def _answer_unless_closed(
         self, request: Request, reader: asyncio.StreamReader, writer: Writer
     ) -> bool:
         """Answer one request; return whether the connection stays open."""
         self.requests.append(request)
-        work = asyncio.create_task(self.respond(request, writer))
-        closed = asyncio.create_task(reader.read(1))
+        answer_task = asyncio.create_task(self.respond(request, writer))
+        read_task = asyncio.create_task(reader.read(1))
         try:
             done, _ = await asyncio.wait(
-                [work, closed], return_when=asyncio.FIRST_COMPLETED
+                [answer_task, read_task], return_when=asyncio.FIRST_COMPLETED
             )
         finally:
-            for task in (work, closed):
+            for task in (answer_task, read_task):
                 task.cancel()
-            answered, early = await asyncio.gather(work, closed, return_exceptions=True)
-        if work not in done:
+            answer_result, early_bytes = await asyncio.gather(
+                answer_task, read_task, return_exceptions=True
+            )
+        if answer_task not in done:
             self.aborted_attempts.append(request.attempt)
             return False
-        if isinstance(answered, BaseException):
+        if isinstance(answer_result, BaseException):
             # uvloop raises RuntimeError where asyncio raises ConnectionError.
-            if not isinstance(answered, (ConnectionError, RuntimeError)):
-                raise answered
+            if not isinstance(answer_result, (ConnectionError, RuntimeError)):
+                raise answer_result
             return False
-        if isinstance(early, bytes) and early:
+        if isinstance(early_bytes, bytes) and early_bytes:
             raise AssertionError("bytes between requests")
         return True
 
 
-async def _read(reader: asyncio.StreamReader) -> Request | None:
+async def _read_request(reader: asyncio.StreamReader) -> Request | None:
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
