--- a/packages/dev/cassiaquay_dev/sizing/__init__.py
+++ b/packages/dev/cassiaquay_dev/sizing/__init__.py
@@ -1,1 +1,1 @@
-"""What each role costs, measured as slopes, and what that means at full size."""
+"""Measured costs of each role per unit of load, and their sum at the target size."""
--- a/packages/dev/cassiaquay_dev/sizing/capacity.py
+++ b/packages/dev/cassiaquay_dev/sizing/capacity.py
@@ -1,7 +1,8 @@
-"""docs/CAPACITY.md: what each role costs at the size that the fleet is to reach.
+"""Generate docs/CAPACITY.md: the cost of each role at the target size of the fleet.
 
-Run as ``python -m cassiaquay_dev.sizing.capacity`` after a slope was measured; with
-``--check`` it writes nothing and exits 1 when the page is not up to date.
+Run ``python -m cassiaquay_dev.sizing.capacity`` after measuring a slope (the cost per
+unit of load). With ``--check`` it writes nothing and exits with status 1 if the page
+is out of date.
 """
 
 import pathlib
@@ -13,7 +14,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Write or check the page."""
+    """Write the page, or only compare it with the file on ``--check``."""
     text = capacity_page.render(slopes.read())
     if PAGE.exists() and PAGE.read_text() == text:
         return 0
--- a/packages/dev/cassiaquay_dev/sizing/capacity_page.py
+++ b/packages/dev/cassiaquay_dev/sizing/capacity_page.py
@@ -1,4 +1,4 @@
-"""The text of docs/CAPACITY.md."""
+"""Renders docs/CAPACITY.md from the measured slopes and the target size."""
 
 import typing
 
@@ -15,28 +15,28 @@
 """
 
 
-# The event loop may be held up by this much.
-MOST_READING_SECONDS = 0.1
+# Longest time for which reading a fleet text may block the event loop.
+MAX_LOOP_BLOCKED_SECONDS = 0.1
 
 
-class Reach(typing.NamedTuple):
-    """One demand of the size, what today's mechanism gives, and what would do."""
+class Shortfall(typing.NamedTuple):
+    """A requirement that the current mechanism misses, with a design that meets it."""
 
-    demand: str
-    today: str
-    would: str
+    requirement: str
+    current: str
+    remedy: str
 
 
-def render(known: capacity_roles.Slopes) -> str:
-    """Return the page."""
+def render(measured: capacity_roles.Slopes) -> str:
+    """Return the page as Markdown."""
     size = capacity_roles.Size()
     parts = [
         HEAD + _inputs(size),
-        "## Each role, at one daemon\n\n" + _roles(size, known),
-        "## Against the limits for control\n\n" + _limits(size, known),
-        "## Where today's mechanism does not reach\n\n" + _reaches(size, known),
+        "## Each role, at one daemon\n\n" + _roles(size, measured),
+        "## Against the limits for control\n\n" + _limits(size, measured),
+        "## Where today's mechanism does not reach\n\n" + _shortfalls(size, measured),
         "## Failures\n\n" + _failures(size),
-        "## Slopes\n\n" + _slopes(known),
+        "## Slopes\n\n" + _slopes(measured),
     ]
     return "\n\n".join(parts) + "\n"
 
@@ -58,7 +58,7 @@
     )
 
 
-def _roles(size: capacity_roles.Size, known: capacity_roles.Slopes) -> str:
+def _roles(size: capacity_roles.Size, measured: capacity_roles.Slopes) -> str:
     lines = [
         "| role | state | messages | processor | memory | between instances |"
         " carried by |",
@@ -66,14 +66,14 @@
     ]
     for name in capacity_roles.roles.names():
         role = capacity_roles.roles.get(name)
-        cost = role.cost(size, known)
+        cost = role.cost(size, measured)
         cells = [
             name if role.is_control else f"{name} (data path)",
             role.state,
             role.messages,
-            _core(cost.core),
-            _bytes(cost.memory),
-            _rate(cost.wire),
+            _format_core(cost.core),
+            _format_bytes(cost.memory),
+            _format_rate(cost.wire),
             role.mechanism,
         ]
         lines.append(f"| {' | '.join(cells)} |")
@@ -85,28 +85,33 @@
     return "\n".join(lines) + note
 
 
-def _limits(size: capacity_roles.Size, known: capacity_roles.Slopes) -> str:
+def _limits(size: capacity_roles.Size, measured: capacity_roles.Slopes) -> str:
     core = memory = wire = 0.0
     for name in capacity_roles.roles.names():
         role = capacity_roles.roles.get(name)
         if not role.is_control:
             continue
-        cost = role.cost(size, known)
+        cost = role.cost(size, measured)
         core += cost.core or 0.0
         memory += cost.memory or 0.0
         wire += cost.wire or 0.0
     rows = [
-        ("processor", _core(core), _core(size.core_share), core <= size.core_share),
+        (
+            "processor",
+            _format_core(core),
+            _format_core(size.core_share),
+            core <= size.core_share,
+        ),
         (
             "memory",
-            _bytes(memory),
-            _bytes(size.memory_bytes),
+            _format_bytes(memory),
+            _format_bytes(size.memory_bytes),
             memory <= size.memory_bytes,
         ),
         (
             "between instances",
-            f"{_bytes(wire)}/s",
-            f"{_bytes(size.wire_bytes_per_second)}/s",
+            f"{_format_bytes(wire)}/s",
+            f"{_format_bytes(size.wire_bytes_per_second)}/s",
             wire <= size.wire_bytes_per_second,
         ),
     ]
@@ -120,49 +125,57 @@
     return "\n".join(lines)
 
 
-def _reaches(size: capacity_roles.Size, known: capacity_roles.Slopes) -> str:
+def _shortfalls(size: capacity_roles.Size, measured: capacity_roles.Slopes) -> str:
     lines = ["| demand | today | what would reach |", "|---|---|---|"]
-    for item in _found_reaches(size, known):
-        lines.append(f"| {item.demand} | {item.today} | {item.would} |")
+    for item in _find_shortfalls(size, measured):
+        lines.append(f"| {item.requirement} | {item.current} | {item.remedy} |")
     return "\n".join(lines)
 
 
-def _found_reaches(
-    size: capacity_roles.Size, known: capacity_roles.Slopes
-) -> list[Reach]:
+def _find_shortfalls(
+    size: capacity_roles.Size, measured: capacity_roles.Slopes
+) -> list[Shortfall]:
     found = []
-    for check in (_text_bytes, _text_seconds, _wire, _full_passes, _recovery):
-        found += check(size, known)
+    for check in (
+        _text_size_shortfall,
+        _text_reading_shortfall,
+        _wire_shortfall,
+        _full_pass_shortfall,
+        _recovery_shortfall,
+    ):
+        found += check(size, measured)
     return found
 
 
-def _text_bytes(size: capacity_roles.Size, known: capacity_roles.Slopes) -> list[Reach]:
-    text = capacity_roles.product(
-        known, ("configuration_text_bytes_per_team", float(size.teams))
+def _text_size_shortfall(
+    size: capacity_roles.Size, measured: capacity_roles.Slopes
+) -> list[Shortfall]:
+    text = capacity_roles.weighted_sum(
+        measured, ("configuration_text_bytes_per_team", float(size.teams))
     )
     if text is None or text <= size.platform_value_bytes:
         return []
     return [
-        Reach(
+        Shortfall(
             f"one text with {size.teams} teams in a value of"
-            f" {_bytes(size.platform_value_bytes)}",
-            f"{_bytes(text)}",
+            f" {_format_bytes(size.platform_value_bytes)}",
+            f"{_format_bytes(text)}",
             "teams in texts of their own by hash, named with their revisions by the"
             " first text; each accepted whole with it",
         )
     ]
 
 
-def _text_seconds(
-    size: capacity_roles.Size, known: capacity_roles.Slopes
-) -> list[Reach]:
-    reading = capacity_roles.product(
-        known, ("configuration_seconds_per_team", float(size.teams))
+def _text_reading_shortfall(
+    size: capacity_roles.Size, measured: capacity_roles.Slopes
+) -> list[Shortfall]:
+    reading = capacity_roles.weighted_sum(
+        measured, ("configuration_seconds_per_team", float(size.teams))
     )
-    if reading is None or reading <= MOST_READING_SECONDS:
+    if reading is None or reading <= MAX_LOOP_BLOCKED_SECONDS:
         return []
     return [
-        Reach(
+        Shortfall(
             "a change does not hold up requests",
             f"reading the text takes {reading:.1f} s of the event loop",
             "read only the teams' text that changed, in steps between which the"
@@ -171,47 +184,53 @@
     ]
 
 
-def _wire(size: capacity_roles.Size, known: capacity_roles.Slopes) -> list[Reach]:
+def _wire_shortfall(
+    size: capacity_roles.Size, measured: capacity_roles.Slopes
+) -> list[Shortfall]:
     found = []
     for name, limit_name in (
         (f"3 keeper of {capacity_roles.BUSIEST_SHARDS} shards", "demands"),
         ("4 renewals at that keeper", "renewals"),
         ("5 membership", "heartbeats"),
     ):
-        wire = capacity_roles.roles.get(name).cost(size, known).wire
+        wire = capacity_roles.roles.get(name).cost(size, measured).wire
         if wire is None or wire <= size.wire_bytes_per_second:
             continue
         found.append(
-            Reach(
-                f"{limit_name} within {_bytes(size.wire_bytes_per_second)}/s",
-                f"{_bytes(wire)}/s at the busiest daemon",
-                WOULD[limit_name],
+            Shortfall(
+                f"{limit_name} within {_format_bytes(size.wire_bytes_per_second)}/s",
+                f"{_format_bytes(wire)}/s at the busiest daemon",
+                REMEDIES[limit_name],
             )
         )
     return found
 
 
-def _full_passes(
-    size: capacity_roles.Size, known: capacity_roles.Slopes
-) -> list[Reach]:
+def _full_pass_shortfall(
+    size: capacity_roles.Size, measured: capacity_roles.Slopes
+) -> list[Shortfall]:
     events = 2.0 * size.requests_per_second / size.shards
-    overload = capacity_roles.product(known, ("keeper_seconds_per_full_pass", events))
+    overload = capacity_roles.weighted_sum(
+        measured, ("keeper_seconds_per_full_pass", events)
+    )
     if overload is None or overload <= size.core_share:
         return []
     return [
-        Reach(
+        Shortfall(
             "a keeper goes on under overload",
             f"a pass at each of {events:.0f} demands and releases a second over a"
-            f" queue of 300 takes {_core(overload)} for one shard",
+            f" queue of 300 takes {_format_core(overload)} for one shard",
             "passes at most every few milliseconds; look only at the servers that a"
             " release has touched",
         )
     ]
 
 
-def _recovery(size: capacity_roles.Size, known: capacity_roles.Slopes) -> list[Reach]:
+def _recovery_shortfall(
+    size: capacity_roles.Size, measured: capacity_roles.Slopes
+) -> list[Shortfall]:
     return [
-        Reach(
+        Shortfall(
             "a dead owner's streams are found again",
             f"{size.open_requests / size.daemons:.0f} streams, each looked for at all"
             f" {-(-size.engines // size.models)} engines of its model",
@@ -220,7 +239,7 @@
     ]
 
 
-WOULD = {
+REMEDIES = {
     "demands": "hashes of the prefix only where the shard's engines hold such a prefix;"
     " permits in chunks for a tier and team that has work; smaller shards",
     "renewals": "a lease for each owner and shard with the differences only, and the"
@@ -257,13 +276,13 @@
     return "\n".join(lines)
 
 
-def _slopes(known: capacity_roles.Slopes) -> str:
+def _slopes(measured: capacity_roles.Slopes) -> str:
     lines = [
         "| slope | value | unit | meaning | command | date |",
         "|---|---|---|---|---|---|",
     ]
-    for name, meaning in slopes.KNOWN.items():
-        slope = known.get(name)
+    for name, meaning in slopes.DEFINITIONS.items():
+        slope = measured.get(name)
         if slope is None:
             lines.append(
                 f"| `{name}` | not measured | {meaning.unit} | {meaning.text} | | |"
@@ -277,17 +296,17 @@
     return "\n".join(lines)
 
 
-def _core(value: float | None) -> str:
+def _format_core(value: float | None) -> str:
     if value is None:
         return "not measured"
     return f"{value:.2%} of a core" if value else "-"
 
 
-def _rate(value: float | None) -> str:
-    return f"{_bytes(value)}/s" if value else _bytes(value)
+def _format_rate(value: float | None) -> str:
+    return f"{_format_bytes(value)}/s" if value else _format_bytes(value)
 
 
-def _bytes(value: float | None) -> str:
+def _format_bytes(value: float | None) -> str:
     if value is None:
         return "not measured"
     if not value:
--- a/packages/dev/cassiaquay_dev/sizing/capacity_roles.py
+++ b/packages/dev/cassiaquay_dev/sizing/capacity_roles.py
@@ -1,4 +1,7 @@
-"""What each role costs a daemon, worked out from measured slopes."""
+"""Computes the cost of each role for one daemon from the measured slopes.
+
+A slope is the cost per unit of load, such as seconds of processor time per request.
+"""
 
 import collections.abc
 import typing
@@ -9,19 +12,20 @@
 from . import slopes
 
 Slopes = dict[str, slopes.Slope]
-DAY = 86400.0
+DAY_SECONDS = 86400.0
 OWNER = settings_schema.Owner()
 KEEPER = settings_schema.Keeper()
 MEMBERSHIP = settings_schema.Membership()
 REPORTS = settings_schema.Reports()
 SHARD_SERVERS = 16
-# Rendezvous hashing gives 48 shards to 380 daemons; the busiest has two or three.
+# Rendezvous hashing spreads 48 shards over 380 daemons; the busiest daemon keeps two
+# or three.
 BUSIEST_SHARDS = 2
 BURN_BUCKETS = 60 + 72
 
 
 class Size(typing.NamedTuple):
-    """The size that is built towards, from letter 1."""
+    """Target size of the fleet, and the limits for control roles on one daemon."""
 
     daemons: int = 380
     engines: int = 740
@@ -46,39 +50,40 @@
 
     @property
     def tokens_per_request(self) -> float:
-        """Mean length of an answer, tokens."""
+        """Mean length of an answer in tokens."""
         return self.tokens_per_second / self.requests_per_second
 
     @property
     def seconds_per_request(self) -> float:
-        """Mean time of a request, seconds."""
+        """Mean duration of a request in seconds."""
         return self.first_token_seconds + self.tokens_per_request * self.token_seconds
 
     @property
     def open_requests(self) -> float:
-        """Requests open at a moment, over all daemons."""
+        """Mean number of concurrently open requests over all daemons."""
         return self.requests_per_second * self.seconds_per_request
 
     @property
     def shards(self) -> int:
-        """Shards of all pools."""
+        """Number of shards over all pools."""
         engines_per_model = -(-self.engines // self.models)
         return self.models * -(-engines_per_model // SHARD_SERVERS)
 
 
 class Cost(typing.NamedTuple):
-    """What a role costs one daemon.
+    """Cost of a role for one daemon.
 
-    None: a slope has not been measured. 0: the role has nothing of the kind.
+    None means that a slope has not been measured, 0 that the role uses none of the
+    resource.
 
     Attributes
     ----------
     core : float or None
-        Share of a core.
+        Fraction of a core.
     memory : float or None
-        Bytes.
+        Memory in bytes.
     wire : float or None
-        Bytes a second between instances.
+        Bytes per second between instances.
     """
 
     core: float | None = 0.0
@@ -87,7 +92,7 @@
 
 
 class Role(typing.NamedTuple):
-    """One role: what it holds and sends, what carries it, and what that costs."""
+    """A role of the daemon: its state, messages, mechanism and cost function."""
 
     name: str
     is_control: bool
@@ -100,108 +105,112 @@
 roles: registry.Registry[Role] = registry.Registry("role")
 
 
-def product(known: Slopes, *parts: tuple[str, float]) -> float | None:
-    """Return the sum of slopes times factors; None when one is not measured."""
+def weighted_sum(measured: Slopes, *parts: tuple[str, float]) -> float | None:
+    """Return the sum of slope times factor, or None if any slope is not measured."""
     total = 0.0
     for name, factor in parts:
-        if name not in known:
+        if name not in measured:
             return None
-        total += known[name].value * factor
+        total += measured[name].value * factor
     return total
 
 
-def _base(size: Size, known: Slopes) -> Cost:
-    return Cost(memory=product(known, ("base_bytes", 1.0)))
+def _base(size: Size, measured: Slopes) -> Cost:
+    return Cost(memory=weighted_sum(measured, ("base_bytes", 1.0)))
 
 
-def _owner(size: Size, known: Slopes) -> Cost:
+def _owner(size: Size, measured: Slopes) -> Cost:
     requests = size.requests_per_second / size.daemons
     events = size.tokens_per_second / size.daemons
     kept = size.seconds_per_request + OWNER.token_seconds + OWNER.answer_seconds
     open_events = size.open_requests / size.daemons * size.tokens_per_request / 2
     return Cost(
-        core=product(
-            known,
+        core=weighted_sum(
+            measured,
             ("owner_seconds_per_request", requests),
             ("owner_seconds_per_event", events),
         ),
-        memory=product(
-            known,
+        memory=weighted_sum(
+            measured,
             ("owner_bytes_per_entry", requests * kept),
             ("owner_bytes_per_event", open_events),
         ),
     )
 
 
-def _keeper(size: Size, known: Slopes) -> Cost:
+def _keeper(size: Size, measured: Slopes) -> Cost:
     demands = size.requests_per_second / size.shards * BUSIEST_SHARDS
     held = size.open_requests / size.shards * BUSIEST_SHARDS
     return Cost(
-        core=product(known, ("keeper_seconds_per_demand", demands)),
-        memory=product(known, ("keeper_bytes_per_demand", held)),
-        wire=product(known, ("keeper_wire_bytes_per_demand", demands)),
+        core=weighted_sum(measured, ("keeper_seconds_per_demand", demands)),
+        memory=weighted_sum(measured, ("keeper_bytes_per_demand", held)),
+        wire=weighted_sum(measured, ("keeper_wire_bytes_per_demand", demands)),
     )
 
 
-def _demands(size: Size, known: Slopes) -> Cost:
+def _demands(size: Size, measured: Slopes) -> Cost:
     own = size.requests_per_second / size.daemons
-    return Cost(wire=product(known, ("keeper_wire_bytes_per_demand", own)))
+    return Cost(wire=weighted_sum(measured, ("keeper_wire_bytes_per_demand", own)))
 
 
-def _renewals(size: Size, known: Slopes) -> Cost:
+def _renewals(size: Size, measured: Slopes) -> Cost:
     items = size.open_requests / size.shards * BUSIEST_SHARDS / KEEPER.renew_seconds
     return Cost(
-        core=product(known, ("renewal_seconds_per_item", items)),
-        wire=product(known, ("renewal_wire_bytes_per_item", items)),
+        core=weighted_sum(measured, ("renewal_seconds_per_item", items)),
+        wire=weighted_sum(measured, ("renewal_wire_bytes_per_item", items)),
     )
 
 
-def _membership(size: Size, known: Slopes) -> Cost:
+def _membership(size: Size, measured: Slopes) -> Cost:
     beats = 2.0 * MEMBERSHIP.neighbours / MEMBERSHIP.period
     return Cost(
-        core=product(known, ("heartbeat_seconds", beats)),
-        memory=product(known, ("member_bytes", size.daemons)),
-        wire=product(known, ("heartbeat_wire_bytes", beats)),
+        core=weighted_sum(measured, ("heartbeat_seconds", beats)),
+        memory=weighted_sum(measured, ("member_bytes", size.daemons)),
+        wire=weighted_sum(measured, ("heartbeat_wire_bytes", beats)),
     )
 
 
-def _addresses(size: Size, known: Slopes) -> Cost:
+def _addresses(size: Size, measured: Slopes) -> Cost:
     asks = size.teams / OWNER.keep_seconds / size.daemons
     return Cost(
-        core=product(known, ("address_seconds_per_member", asks * size.daemons))
+        core=weighted_sum(measured, ("address_seconds_per_member", asks * size.daemons))
     )
 
 
-def _configuration(size: Size, known: Slopes) -> Cost:
-    changes = size.changes_per_day / DAY
+def _configuration(size: Size, measured: Slopes) -> Cost:
+    changes = size.changes_per_day / DAY_SECONDS
     return Cost(
-        core=product(known, ("configuration_seconds_per_team", changes * size.teams)),
-        memory=product(known, ("configuration_bytes_per_team", 2.0 * size.teams)),
-        wire=product(known, ("configuration_change_wire_bytes", 2.0 * changes)),
+        core=weighted_sum(
+            measured, ("configuration_seconds_per_team", changes * size.teams)
+        ),
+        memory=weighted_sum(
+            measured, ("configuration_bytes_per_team", 2.0 * size.teams)
+        ),
+        wire=weighted_sum(measured, ("configuration_change_wire_bytes", 2.0 * changes)),
     )
 
 
-def _relay(size: Size, known: Slopes) -> Cost:
-    # The caller package sends to the owner itself: relays are copies sent elsewhere
-    # after a broken connection. A hundredth is taken.
+def _relay(size: Size, measured: Slopes) -> Cost:
+    # The caller package sends requests to the owner directly. Only a retry on another
+    # instance after a broken connection is relayed: assumed for 1 in 100 requests.
     calls = size.requests_per_second / size.daemons / 100.0
-    return Cost(core=product(known, ("relay_seconds_per_request", calls)))
+    return Cost(core=weighted_sum(measured, ("relay_seconds_per_request", calls)))
 
 
-def _reports(size: Size, known: Slopes) -> Cost:
+def _reports(size: Size, measured: Slopes) -> Cost:
     requests = size.requests_per_second / size.daemons
     cells = float(BURN_BUCKETS * REPORTS.burn_max_cells)
     return Cost(
-        core=product(known, ("metric_seconds_per_request", requests)),
-        memory=product(known, ("burn_bytes_per_cell", cells)),
+        core=weighted_sum(measured, ("metric_seconds_per_request", requests)),
+        memory=weighted_sum(measured, ("burn_bytes_per_cell", cells)),
     )
 
 
-def _add(role: Role) -> None:
+def _register(role: Role) -> None:
     roles.register(role.name)(role)
 
 
-_add(
+_register(
     Role(
         "0 process",
         True,
@@ -211,7 +220,7 @@
         _base,
     )
 )
-_add(
+_register(
     Role(
         "1 owner",
         False,
@@ -222,7 +231,7 @@
         _owner,
     )
 )
-_add(
+_register(
     Role(
         "2 demands",
         True,
@@ -232,7 +241,7 @@
         _demands,
     )
 )
-_add(
+_register(
     Role(
         f"3 keeper of {BUSIEST_SHARDS} shards",
         True,
@@ -242,7 +251,7 @@
         _keeper,
     )
 )
-_add(
+_register(
     Role(
         "4 renewals at that keeper",
         True,
@@ -252,7 +261,7 @@
         _renewals,
     )
 )
-_add(
+_register(
     Role(
         "5 membership",
         True,
@@ -263,7 +272,7 @@
         _membership,
     )
 )
-_add(
+_register(
     Role(
         "6 address book",
         True,
@@ -273,7 +282,7 @@
         _addresses,
     )
 )
-_add(
+_register(
     Role(
         "7 configuration",
         True,
@@ -285,7 +294,7 @@
         _configuration,
     )
 )
-_add(
+_register(
     Role(
         "8 relay",
         False,
@@ -295,7 +304,7 @@
         _relay,
     )
 )
-_add(
+_register(
     Role(
         "9 reports",
         True,
--- a/packages/dev/cassiaquay_dev/sizing/light.py
+++ b/packages/dev/cassiaquay_dev/sizing/light.py
@@ -1,7 +1,7 @@
-"""Instances without callers and back ends, many in one process.
+"""Light instances: many per process, without callers or backend servers.
 
-They are the daemon's own parts that carry membership and configuration, on real
-connections, against a platform of the same process.
+They run the daemon's own membership and configuration code over real connections,
+against a simulated platform in the same process.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Published:
-    """Stands for the configuration service."""
+    """Simulates the configuration service."""
 
     def __init__(self) -> None:
         self.evacuated = platform.NOTHING_EVACUATED
@@ -29,14 +29,14 @@
         self._changed = asyncio.Event()
 
     def publish(self, revision: int, text: str) -> None:
-        """Show a text, also an older one, as a stale service does."""
+        """Publish a text; an older revision simulates a stale service."""
         self.revision = revision
         self.text = text
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
     async def watch(self, after: int, wait: float) -> platform.Published | None:
-        """Return what is newer than ``after``, or None after ``wait`` seconds."""
+        """Return a revision newer than ``after``, or None after ``wait`` seconds."""
         self.calls += 1
         if self.down:
             raise exceptions.PlatformError("down")
@@ -52,7 +52,7 @@
 
 
 class Listing:
-    """Stands for the instance list."""
+    """Simulates the instance list of the platform."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -60,7 +60,7 @@
         self.lines: dict[str, platform.ListedInstance] = {}
 
     async def read(self) -> list[platform.ListedInstance]:
-        """Return all lines."""
+        """Return all listed instances."""
         self.calls += 1
         if self.down:
             raise exceptions.PlatformError("down")
@@ -68,20 +68,20 @@
 
 
 class Links(peers.Peers):
-    """Connections that can be cut, as a partition cuts them."""
+    """Peer connections that can be blocked to simulate a network partition."""
 
     def __init__(self, settings: settings_schema.Settings, incarnation: str):
         super().__init__(settings, incarnation)
         self.cut: set[str] = set()
 
     def link(self, instance: str, address: str) -> peers.Link | None:
-        """Return a link, none to the other side of a partition."""
+        """Return a link, or None if the instance is across the partition."""
         if instance in self.cut:
             return None
         return super().link(instance, address)
 
     def separate(self, instance: str) -> None:
-        """Close the links to an instance and allow none."""
+        """Close the links to an instance and reject new ones."""
         self.cut.add(instance)
         for link in [*self._accepted, *self._dialled.values()]:
             if link.instance == instance:
@@ -89,7 +89,7 @@
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of all frames sent so far."""
+        """Total bytes of all frames sent, closed links included."""
         links = {*self._accepted, *self._dialled.values()}
         return self.closed_sent_bytes + sum(link.sent_bytes for link in links)
 
@@ -100,19 +100,19 @@
 
 
 class Light:
-    """One instance.
+    """One light instance.
 
-    Seconds added to ``slept`` are a pause in which nobody ran; ``in_force`` holds the
-    revisions that it has put in force, in order.
+    Seconds added to ``slept`` advance its clock, which simulates a paused process.
+    ``in_force`` lists the revisions that the instance has applied, in order.
 
     Parameters
     ----------
     settings : Settings
-        As of a daemon.
+        Settings as for a daemon.
     published : Published
-        The configuration service.
+        The simulated configuration service.
     listing : Listing
-        The instance list.
+        The simulated instance list.
     """
 
     def __init__(
@@ -145,7 +145,7 @@
         self.membership.on_heartbeat(self.configuration.handle_heartbeat)
         self.membership.digest = lambda: self.configuration.digest
         self.configuration.on_accept(self.membership.update)
-        self.configuration.on_accept(self._note)
+        self.configuration.on_accept(self._record_revision)
         self.pauses.on_resume(self.membership.restart_silence_timers)
         self._published = published
         self._listing = listing
@@ -153,17 +153,17 @@
 
     @property
     def view(self) -> set[str]:
-        """Names of those that it takes for serving."""
+        """Names of the instances that its membership considers serving."""
         return {member.instance for member in self.membership.serving()}
 
     async def start(self) -> None:
-        """Listen, and begin as a daemon does."""
+        """Open the peer listener and start the background tasks."""
         await self.peers.start()
         self.membership.http_address = f"{self.name}:80"
         self.begin()
 
     def begin(self) -> None:
-        """Begin as a daemon does that listens already."""
+        """Start the background tasks; the peer listener must be open."""
         self.renewal.start()
         for work in (
             self.pauses.check_periodically(),
@@ -175,7 +175,7 @@
             self._tasks.append(asyncio.create_task(work))
 
     def enlist(self, leaving: bool = False) -> None:
-        """Put itself on the instance list."""
+        """Add the instance to the instance list."""
         self._listing.lines[self.name] = platform.ListedInstance(
             self.name,
             self.settings.domain,
@@ -186,12 +186,12 @@
         )
 
     def pause(self) -> None:
-        """Do nothing more by itself, with all connections open."""
+        """Cancel the background tasks but keep all connections open."""
         for task in self._tasks:
             task.cancel()
 
     async def stop(self) -> None:
-        """End without a farewell, as a killed process does."""
+        """Stop without announcing the departure, as a killed process does."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -200,7 +200,7 @@
     def _now(self) -> float:
         return clock.now() + self.slept
 
-    def _note(self) -> None:
+    def _record_revision(self) -> None:
         self.in_force.append(self.configuration.revision)
 
     def _mint(self) -> str:
@@ -233,19 +233,19 @@
 
 
 def separate(one: Light, other: Light) -> None:
-    """Cut two instances off from each other."""
+    """Partition two instances from each other."""
     one.peers.separate(other.name)
     other.peers.separate(one.name)
 
 
 def join(one: Light, other: Light) -> None:
-    """Let two instances reach each other again."""
+    """Remove the partition between two instances."""
     one.peers.cut.discard(other.name)
     other.peers.cut.discard(one.name)
 
 
 async def until(condition: collections.abc.Callable[[], bool], seconds: float) -> None:
-    """Wait until a condition holds; raise TimeoutError after ``seconds``."""
+    """Wait until a condition is true; raise TimeoutError after ``seconds``."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(POLL_SECONDS)
--- a/packages/dev/cassiaquay_dev/sizing/light_worker.py
+++ b/packages/dev/cassiaquay_dev/sizing/light_worker.py
@@ -1,6 +1,7 @@
-"""A process with many light instances, led by :mod:`measure_fleet` over its pipes.
+"""Worker process with many light instances, controlled by :mod:`measure_fleet`.
 
-Each line of standard input is a JSON command; each answer is one JSON line.
+Each line of standard input is a JSON command whose ``do`` field names the method to
+call. The worker writes each result to standard output as one line of JSON.
 """
 
 import asyncio
@@ -23,61 +24,65 @@
 
 
 class Worker:
-    """The instances of one process."""
+    """Runs the light instances of one process."""
 
     def __init__(self) -> None:
         self._published = light.Published()
         self._listing = light.Listing()
-        self._lives: dict[str, light.Light] = {}
+        self._instances: dict[str, light.Light] = {}
 
     async def add(self, command: Command) -> object:
-        """Start instances; answer with their lines of the instance list."""
+        """Start peer listeners; return the instances' entries of the instance list."""
         for name in command["names"]:
             number = int(name.rpartition("-")[2])
             settings = _settings(name, f"domain-{number % 7}", command["neighbours"])
-            one = light.Light(settings, self._published, self._listing)
-            one.membership.http_address = f"{name}:80"
-            self._lives[name] = one
-            await one.peers.start()
-            one.enlist()
+            instance = light.Light(settings, self._published, self._listing)
+            instance.membership.http_address = f"{name}:80"
+            self._instances[name] = instance
+            await instance.peers.start()
+            instance.enlist()
         return [self._listing.lines[name] for name in command["names"]]
 
     async def begin(self, command: Command) -> object:
-        """Let all instances begin, with the whole list and a text."""
+        """Start all instances with the full instance list and a first fleet text."""
         for line in command["lines"]:
             self._listing.lines[line[0]] = platform.ListedInstance(*line)
         self._published.publish(1, command["text"])
-        for one in self._lives.values():
-            one.begin()
+        for instance in self._instances.values():
+            instance.begin()
         return None
 
     async def publish(self, command: Command) -> object:
-        """Publish a text."""
+        """Publish a fleet text to the instances of this process."""
         self._published.publish(command["revision"], command["text"])
         return None
 
     async def kill(self, command: Command) -> object:
-        """End one instance without a farewell."""
-        await self._lives.pop(command["name"]).stop()
+        """Stop one instance without announcing its departure."""
+        await self._instances.pop(command["name"]).stop()
         return None
 
     async def state(self, command: Command) -> object:
-        """Answer with what the instances see and have used so far."""
-        views = [len(one.view) for one in self._lives.values()]
+        """Return the instances' views and revisions and the resources used so far."""
+        views = [len(instance.view) for instance in self._instances.values()]
         usage = resource.getrusage(resource.RUSAGE_SELF)
         return {
             "smallest_view": min(views),
             "largest_view": max(views),
-            "revision": min(x.configuration.revision for x in self._lives.values()),
+            "revision": min(x.configuration.revision for x in self._instances.values()),
             "cpu": time.process_time(),
             "peak_kib": usage.ru_maxrss,
-            "bytes": sum(one.peers.sent_bytes for one in self._lives.values()),
+            "bytes": sum(
+                instance.peers.sent_bytes for instance in self._instances.values()
+            ),
             "calls": self._published.calls,
-            "pauses": sum(one.pauses.count for one in self._lives.values()),
+            "pauses": sum(
+                instance.pauses.count for instance in self._instances.values()
+            ),
         }
 
     async def run(self) -> None:
-        """Obey until the input ends."""
+        """Execute commands until standard input closes, then stop all instances."""
         loop = asyncio.get_running_loop()
         reader = asyncio.StreamReader(limit=8 * 1024 * 1024)
         await loop.connect_read_pipe(
@@ -87,19 +92,21 @@
             command = json.loads(line)
             answer = await getattr(self, command["do"])(command)
             print(json.dumps(answer), flush=True)
-        await asyncio.gather(*(one.stop() for one in self._lives.values()))
+        await asyncio.gather(
+            *(instance.stop() for instance in self._instances.values())
+        )
 
 
 def _settings(name: str, domain: str, neighbours: int) -> settings_schema.Settings:
-    found = light.settings_of(name, domain, neighbours=neighbours)
-    chosen = settings_schema.Platform(
+    settings = light.settings_of(name, domain, neighbours=neighbours)
+    platform_settings = settings_schema.Platform(
         configuration="", instances="", instances_period=2.0
     )
-    return msgspec.structs.replace(found, platform=chosen)
+    return msgspec.structs.replace(settings, platform=platform_settings)
 
 
 def main() -> None:
-    """Run one worker."""
+    """Run one worker process."""
     logging.getLogger("cassiaquay").setLevel(logging.CRITICAL)
     uvloop.run(Worker().run())
 
--- a/packages/dev/cassiaquay_dev/sizing/measure_changes.py
+++ b/packages/dev/cassiaquay_dev/sizing/measure_changes.py
@@ -1,9 +1,11 @@
-"""Measure changes of a fleet of nine.
+"""Measure changes to a running fleet of nine instances.
 
 Run as ``python -m cassiaquay_dev.sizing.measure_changes``.
 
-Real daemons and stand-ins as processes: a text until in force, a kill until no caller
-is sent there, a restart of all nine under load, a new model version under load.
+Runs daemons and simulated backend servers as processes. Measures the time until a
+published fleet text is in force on all instances, the time from a kill until no
+instance lists the killed one for callers, and the outcomes of requests during a
+restart of all nine instances and during a change of a model's version.
 """
 
 import asyncio
@@ -18,50 +20,50 @@
 from .. import cluster, deployments
 from ..trials import driver, workloads
 
-DAEMONS = 9
-RATE = 12.0
+DAEMON_COUNT = 9
+REQUESTS_PER_SECOND = 12.0
 POLL_SECONDS = 0.02
-LIMIT_SECONDS = 60.0
-TRIES = 5
+TIMEOUT_SECONDS = 60.0
+TRIAL_COUNT = 5
 
-Run = typing.Callable[[cluster.Cluster], typing.Awaitable[None]]
+Measurement = typing.Callable[[cluster.Cluster], typing.Awaitable[None]]
 
 
-async def _until(
+async def _seconds_until(
     condition: typing.Callable[[], typing.Awaitable[bool]],
 ) -> float:
     start = time.monotonic()
-    async with asyncio.timeout(LIMIT_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         while not await condition():
             await asyncio.sleep(POLL_SECONDS)
     return time.monotonic() - start
 
 
 async def text_in_force(started: cluster.Cluster) -> None:
-    """Print the seconds from a published text until it is in force on all."""
+    """Print the seconds from publishing a text until all instances apply it."""
     text = deployments.fleet_text(started.deployment, started.addresses)
     times = []
-    for number in range(TRIES):
+    for number in range(TRIAL_COUNT):
         before = (await started.status("cq-1"))["revision"]
         await started.publish(f"{text}# change {number}\n")
 
-        async def all_have(wanted: int = before + 1) -> bool:
+        async def all_at_revision(wanted: int = before + 1) -> bool:
             found = await asyncio.gather(*map(started.status, started.listening))
             return all(one["revision"] == wanted for one in found)
 
-        times.append(round(await _until(all_have), 2))
+        times.append(round(await _seconds_until(all_at_revision), 2))
     print(f"text_in_force_seconds={times}", flush=True)
 
 
 async def kill(started: cluster.Cluster) -> None:
-    """Print the seconds from a kill until no instance names the dead one."""
+    """Print the seconds from a kill until no instance lists the killed one."""
     times = []
     for number in (3, 5, 7):
         name = f"cq-{number}"
-        gone = started.listening.pop(name)
+        killed = started.listening.pop(name)
         await started.daemons[name].kill()
 
-        async def nobody_names(address: str = gone.http) -> bool:
+        async def is_unlisted(address: str = killed.http) -> bool:
             for one in started.listening.values():
                 url = f"http://{one.http}/v1/addresses"
                 async with started.http.get(url) as response:
@@ -70,12 +72,12 @@
                     return False
             return True
 
-        times.append(round(await _until(nobody_names), 2))
+        times.append(round(await _seconds_until(is_unlisted), 2))
     print(f"kill_to_unnamed_seconds={times}", flush=True)
 
 
 async def restart_all(started: cluster.Cluster) -> None:
-    """Print what becomes of requests while all instances are restarted in turn."""
+    """Print request outcomes while all instances are restarted in turn."""
     seconds = 60.0
     load = asyncio.create_task(_load(started, seconds))
     start = time.monotonic()
@@ -88,12 +90,12 @@
     took = time.monotonic() - start
     results = await load
     print(f"restart_all_seconds={took:.1f} exit_codes={set(codes)}", flush=True)
-    _notify("restart_all", results)
+    _print_outcomes("restart_all", results)
 
 
 async def new_version(started: cluster.Cluster) -> None:
-    """Print the goodput with and without a change of the model's version."""
-    _notify("no_change", await _load(started, 25.0))
+    """Print request outcomes with and without a change of the model's version."""
+    _print_outcomes("no_change", await _load(started, 25.0))
     text = deployments.fleet_text(started.deployment, started.addresses)
     text = text.replace('version = "1"', 'version = "2"\nserving_minimum = 4')
     load = asyncio.create_task(_load(started, 25.0))
@@ -109,33 +111,35 @@
                 return False
         return True
 
-    took = await _until(all_changed)
+    took = await _seconds_until(all_changed)
     print(f"new_version_seconds={time.monotonic() - start:.1f} of {took:.1f}")
-    _notify("new_version", await load)
+    _print_outcomes("new_version", await load)
 
 
 async def _load(started: cluster.Cluster, seconds: float) -> list[driver.Result]:
-    arrivals = workloads.mixed(started.deployment, 11, seconds, RATE)
+    arrivals = workloads.mixed(started.deployment, 11, seconds, REQUESTS_PER_SECOND)
     sender = driver.Driver(started.seeds, started.deployment.domains)
     return await sender.run(arrivals)
 
 
-def _notify(name: str, results: list[driver.Result]) -> None:
+def _print_outcomes(name: str, results: list[driver.Result]) -> None:
     outcomes = collections.Counter((one.outcome, one.code) for one in results)
     in_time = sum(1 for one in results if one.in_time)
     seconds = sorted(one.seconds for one in results)
-    middle = seconds[len(seconds) // 2]
-    slow = seconds[len(seconds) * 95 // 100]
+    median = seconds[len(seconds) // 2]
+    percentile_95 = seconds[len(seconds) * 95 // 100]
     print(
         f"{name}: requests={len(results)} in_time={in_time} outcomes={dict(outcomes)}"
-        f" p50={middle:.2f} p95={slow:.2f}",
+        f" p50={median:.2f} p95={percentile_95:.2f}",
         flush=True,
     )
 
 
-async def _with_cluster(run: Run) -> None:
+async def _with_cluster(run: Measurement) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        started = cluster.Cluster(deployments.BRINDLEY, DAEMONS, pathlib.Path(folder))
+        started = cluster.Cluster(
+            deployments.BRINDLEY, DAEMON_COUNT, pathlib.Path(folder)
+        )
         try:
             await started.start()
             await run(started)
@@ -144,22 +148,22 @@
 
 
 class Main:
-    """Commands of this module."""
+    """Commands of this module, one for each measurement."""
 
     def text(self) -> None:
-        """Measure a new text."""
+        """Measure the time until a new fleet text is in force."""
         asyncio.run(_with_cluster(text_in_force))
 
     def kill(self) -> None:
-        """Measure a kill."""
+        """Measure the time until a killed instance is no longer listed."""
         asyncio.run(_with_cluster(kill))
 
     def restart(self) -> None:
-        """Measure a restart of all."""
+        """Measure request outcomes during a restart of all instances."""
         asyncio.run(_with_cluster(restart_all))
 
     def version(self) -> None:
-        """Measure a new model version."""
+        """Measure request outcomes during a change of the model version."""
         asyncio.run(_with_cluster(new_version))
 
 
--- a/packages/dev/cassiaquay_dev/sizing/measure_fleet.py
+++ b/packages/dev/cassiaquay_dev/sizing/measure_fleet.py
@@ -1,10 +1,9 @@
-"""Measure membership and configuration.
+"""Measure the cost of membership and configuration.
 
 Run as ``python -m cassiaquay_dev.sizing.measure_fleet``.
 
-``members`` runs the daemon's own parts of N instances in a few processes, on real
-connections; ``texts`` reads fleet texts of growing size. docs/experiments/fleet.md
-has the figures.
+``members`` runs N light instances in a few processes over real connections; ``texts``
+reads fleet texts of increasing size. docs/experiments/fleet.md has the results.
 """
 
 import asyncio
@@ -19,22 +18,22 @@
 
 from cassiaquay_daemon.configured import snapshots
 
-PROCESSES = 6
-SETTLE_SECONDS = 6.0
-RUN_SECONDS = 10.0
+MAX_PROCESSES = 6
+STABILIZATION_SECONDS = 6.0
+MEASUREMENT_SECONDS = 10.0
 POLL_SECONDS = 0.1
-LIMIT_SECONDS = 200.0
+TIMEOUT_SECONDS = 200.0
 
 
 class Worker:
-    """One child process with light instances."""
+    """Controls one child process that runs light instances."""
 
     def __init__(self, child: asyncio.subprocess.Process):
         self._child = child
 
     @classmethod
     async def start(cls) -> "Worker":
-        """Start a worker."""
+        """Start the child process."""
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -46,7 +45,7 @@
         return cls(child)
 
     async def call(self, do: str, **fields: typing.Any) -> typing.Any:
-        """Give a command; return its answer."""
+        """Send a command and return its result."""
         assert self._child.stdin is not None
         assert self._child.stdout is not None
         line = json.dumps({"do": do, **fields}) + "\n"
@@ -54,35 +53,36 @@
         return json.loads(await self._child.stdout.readline())
 
     async def stop(self) -> None:
-        """End the worker."""
+        """Close the child's standard input and wait for its exit."""
         assert self._child.stdin is not None
         self._child.stdin.close()
         await self._child.wait()
 
 
 class Members(typing.NamedTuple):
-    """What one number of instances gave.
+    """Results for one number of instances.
 
     Attributes
     ----------
     instances, neighbours : int
-        Instances, and links that each chooses.
+        Number of instances, and of neighbours that each one selects.
     agree_seconds : float
-        From a start of all at once until all see all.
+        Time from a simultaneous start until every instance sees all others.
     core_percent : float
-        Processor time of one instance in quiet operation, percent of a core.
+        Processor time of one idle instance, percent of a core.
     bytes_per_second : float
-        Frames that one instance sends in quiet operation.
+        Bytes of the frames that one idle instance sends per second.
     calls_per_second : float
-        Calls to the configuration service by all together.
+        Calls of all instances to the configuration service.
     kib : float
-        Growth of a process's memory for each instance in it, KiB.
+        Growth of a process's peak memory per instance in it, KiB.
     in_force_seconds : float
-        From publishing a text until it is in force everywhere.
+        Time from publishing a text until it is in force on all instances.
     gone_seconds : float
-        From a kill until nobody names the dead one to callers.
+        Time from a kill until no instance counts the killed one as serving.
     pauses : int
-        Instances that took themselves for paused: the machine was too busy.
+        Pauses that instances detected in their own process; above 0 if the machine
+        is overloaded.
     """
 
     instances: int
@@ -97,30 +97,30 @@
     pauses: int
 
 
-class Many:
-    """Workers that act as one fleet."""
+class WorkerGroup:
+    """Worker processes whose instances form one fleet."""
 
     def __init__(self, workers: list[Worker]):
         self._workers = workers
 
-    async def all(self, do: str, **fields: typing.Any) -> list[typing.Any]:
-        """Give all workers a command."""
+    async def call_all(self, do: str, **fields: typing.Any) -> list[typing.Any]:
+        """Send a command to all workers and return their results."""
         calls = [worker.call(do, **fields) for worker in self._workers]
         return list(await asyncio.gather(*calls))
 
-    async def until(
+    async def wait_until(
         self, condition: typing.Callable[[list[typing.Any]], bool]
     ) -> float:
-        """Return the seconds until the states of all workers meet a condition."""
+        """Wait for a condition on the workers' states; return the elapsed seconds."""
         start = time.monotonic()
-        async with asyncio.timeout(LIMIT_SECONDS):
-            while not condition(await self.all("state")):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            while not condition(await self.call_all("state")):
                 await asyncio.sleep(POLL_SECONDS)
         return time.monotonic() - start
 
 
 def fleet_text(teams: int, engines: int, models: int = 8) -> str:
-    """Return a fleet text of a given size."""
+    """Return a fleet text with the given numbers of teams, engines and models."""
     lines = []
     for rank, tier in enumerate(("urgent", "interactive", "standard", "background")):
         lines += [f"[tiers.{tier}]", f"rank = {rank}"]
@@ -139,37 +139,37 @@
 
 
 async def measure_members(count: int, neighbours: int) -> Members:
-    """Return the figures of ``count`` instances."""
-    workers = [await Worker.start() for _ in range(min(PROCESSES, count))]
-    many = Many(workers)
+    """Run ``count`` light instances and return their results."""
+    workers = [await Worker.start() for _ in range(min(MAX_PROCESSES, count))]
+    group = WorkerGroup(workers)
     empty = [await worker.call("add", names=[], neighbours=1) for worker in workers]
     assert not any(empty)
     names = [f"cq-{number}" for number in range(count)]
     try:
-        return await _measure(many, workers, names, neighbours)
+        return await _measure(group, workers, names, neighbours)
     finally:
         await asyncio.gather(*(worker.stop() for worker in workers))
 
 
 async def _measure(
-    many: Many, workers: list[Worker], names: list[str], neighbours: int
+    group: WorkerGroup, workers: list[Worker], names: list[str], neighbours: int
 ) -> Members:
     count = len(names)
     lines = []
     for index, worker in enumerate(workers):
-        mine = names[index :: len(workers)]
-        lines += await worker.call("add", names=mine, neighbours=neighbours)
-    before = await many.all("state")
+        assigned = names[index :: len(workers)]
+        lines += await worker.call("add", names=assigned, neighbours=neighbours)
+    before = await group.call_all("state")
     text = fleet_text(5, 9)
-    await many.all("begin", lines=lines, text=text)
-    agree = await many.until(
+    await group.call_all("begin", lines=lines, text=text)
+    agree = await group.wait_until(
         lambda found: all(one["smallest_view"] == count for one in found)
     )
-    await asyncio.sleep(SETTLE_SECONDS)
-    first = await many.all("state")
+    await asyncio.sleep(STABILIZATION_SECONDS)
+    first = await group.call_all("state")
     start = time.monotonic()
-    await asyncio.sleep(RUN_SECONDS)
-    last = await many.all("state")
+    await asyncio.sleep(MEASUREMENT_SECONDS)
+    last = await group.call_all("state")
     seconds = time.monotonic() - start
 
     def spent(key: str) -> float:
@@ -179,13 +179,14 @@
     grown = sum(one["peak_kib"] for one in last) - sum(
         one["peak_kib"] for one in before
     )
-    # One process alone shows the new text: the others have it from their peers.
+    # Only one process publishes the new text; the instances of the others receive it
+    # from their peers.
     await workers[0].call("publish", revision=2, text=text + "# 2\n")
-    in_force = await many.until(
+    in_force = await group.wait_until(
         lambda found: all(one["revision"] == 2 for one in found)
     )
     await workers[0].call("kill", name=names[0])
-    gone = await many.until(
+    gone = await group.wait_until(
         lambda found: all(one["largest_view"] < count for one in found)
     )
     return Members(
@@ -203,16 +204,16 @@
 
 
 class Main:
-    """Commands of this module."""
+    """Commands of this module, one for each measurement."""
 
     def members(self, counts: str = "9,50,100,200,380", neighbours: int = 8) -> None:
-        """Print one line for each number of instances."""
+        """Print one line of results for each number of instances."""
         chosen = counts if isinstance(counts, tuple) else str(counts).split(",")
         for count in chosen:
             print(asyncio.run(measure_members(int(count), neighbours)), flush=True)
 
     def texts(self) -> None:
-        """Print the cost of reading texts of growing size."""
+        """Print the time and memory for reading fleet texts of increasing size."""
         for teams, engines in (
             (5, 9),
             (1000, 9),
--- a/packages/dev/cassiaquay_dev/sizing/measure_members.py
+++ b/packages/dev/cassiaquay_dev/sizing/measure_members.py
@@ -1,9 +1,9 @@
-"""Measure the slopes of membership.
+"""Measure the slopes (costs per unit of load) of membership.
 
 Run as ``python -m cassiaquay_dev.sizing.measure_members``.
 
-Writes them to docs/capacity/slopes.toml. A heartbeat's share of core and wire is taken
-from a run of many light instances in quiet operation.
+Writes them to docs/capacity/slopes.toml. The processor time and bytes per heartbeat
+come from a run of many idle light instances.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 
 from . import light, measure_fleet, slopes
 
-COUNT = 380
-RUN_COUNT = 200
-ANSWERS = 200
+MEMBER_COUNT = 380
+INSTANCE_COUNT = 200
+RESPONSE_COUNT = 200
 COMMAND = "python -m cassiaquay_dev.sizing.measure_members"
 
 
 def member(number: int) -> messages.Member:
-    """Return a member as it is told by a peer."""
+    """Return a member as received from a peer."""
     name = f"cq-{number}"
     address = f"10.0.{number // 250}.{number % 250}"
     return messages.Member(
@@ -47,45 +47,45 @@
     one = light.Light(
         light.settings_of("cq-0"), light.Published(), light.Listing()
     ).membership
-    for number in range(1, COUNT):
+    for number in range(1, MEMBER_COUNT):
         one.learn(member(number))
     return one
 
 
 def member_bytes() -> float:
-    """Return the memory of one known member."""
+    """Return the bytes of memory per known member."""
     tracemalloc.start()
     known = facts.Facts()
-    for number in range(COUNT):
+    for number in range(MEMBER_COUNT):
         known.learn(member(number))
     kept, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return kept / COUNT
+    return kept / MEMBER_COUNT
 
 
 def address_seconds() -> float:
-    """Return the time of one address answer, for each known member."""
+    """Return the processor time of an address response per known member."""
     one = _membership()
     settings = light.settings_of("cq-0")
     start = time.process_time()
-    for _ in range(ANSWERS):
+    for _ in range(RESPONSE_COUNT):
         addresses.answer(settings, one, "domain-1")
-    return (time.process_time() - start) / ANSWERS / COUNT
+    return (time.process_time() - start) / RESPONSE_COUNT / MEMBER_COUNT
 
 
 def main() -> None:
-    """Measure all and write them."""
-    found = asyncio.run(measure_fleet.measure_members(RUN_COUNT, 8))
+    """Measure all slopes of membership and write them to the file."""
+    found = asyncio.run(measure_fleet.measure_members(INSTANCE_COUNT, 8))
     period = light.settings_of("cq-0").membership.period
     beats = 2.0 * found.neighbours / period
     values: dict[str, tuple[float, str]] = {
         "heartbeat_seconds": (
             found.core_percent / 100.0 / beats,
-            f"{RUN_COUNT} light instances in quiet operation",
+            f"{INSTANCE_COUNT} light instances in quiet operation",
         ),
         "heartbeat_wire_bytes": (
             2.0 * found.bytes_per_second / beats,
-            f"{RUN_COUNT} light instances in quiet operation, without TCP and IP",
+            f"{INSTANCE_COUNT} light instances in quiet operation, without TCP and IP",
         ),
         "member_bytes": (member_bytes(), ""),
         "address_seconds_per_member": (address_seconds(), ""),
--- a/packages/dev/cassiaquay_dev/sizing/slopes_keeper.py
+++ b/packages/dev/cassiaquay_dev/sizing/slopes_keeper.py
@@ -1,4 +1,7 @@
-"""Slopes of the keeper role: a shard of 16 engines under its policy, in one process."""
+"""Slopes of the keeper, which admits the requests of a shard.
+
+They are measured in one process on a shard of 16 engines under the default policy.
+"""
 
 import hashlib
 import time
@@ -12,20 +15,20 @@
 from cassiaquay_schema import fleet, messages
 from cassiaquay_schema import settings as settings_schema
 
-SERVERS = 16
-# Below what the policy allows on engines that it does not know yet, so that nothing
-# waits: the price of a queue is measured by itself.
-RUNNING = 24
-WAITING = 300
-PASSES = 60
-DEMANDS = 3000
-QUEUED = 2000
-BLOCKS = 32
-TEAMS = 50
+SERVER_COUNT = 16
+# Below the policy's limit for engines that it has not observed yet, so that no
+# demand waits: the cost of a queue is measured separately.
+RUNNING_COUNT = 24
+WAITING_COUNT = 300
+PASS_COUNT = 60
+DEMAND_COUNT = 3000
+QUEUED_COUNT = 2000
+BLOCK_COUNT = 32
+TEAM_COUNT = 50
 
 
-class _Replier:
-    """Takes the permits as frames, as a link does."""
+class _PermitCollector:
+    """Encodes outgoing messages as a peer link does, and collects the permits."""
 
     instance = "cq-2"
 
@@ -33,7 +36,7 @@
         self.permits: list[messages.Permit] = []
 
     def send(self, message: messages.Message) -> bool:
-        """Encode a message and keep it when it is a permit."""
+        """Encode a message, and store it if it is a permit."""
         frames.encode(message)
         if isinstance(message, messages.Permit):
             self.permits.append(message)
@@ -56,7 +59,7 @@
 def _shard() -> tuple[shards.Shard, policies.Policy]:
     settings = make_settings()
     shard = shards.Shard("engines#0", settings)
-    for number in range(SERVERS):
+    for number in range(SERVER_COUNT):
         name = f"engine-{number}"
         server = fleet.Server(
             name=name,
@@ -65,23 +68,23 @@
             max_tokens_in_flight=10_000_000,
         )
         shard.servers[name] = server
-    # Importing the keeper registers the policies.
+    # Importing the keeper module registers the policies.
     return shard, policies.policies.get(keeper.DEFAULT_POLICY)(shard)
 
 
 def demand(number: int) -> messages.Demand:
-    """Return a demand of one of `TEAMS` teams with a prefix of its own."""
+    """Return a demand of one of `TEAM_COUNT` teams, with one of 200 prefixes."""
     digest = hashlib.sha256(str(number % 200).encode()).digest()
     first = int.from_bytes(digest[:7], "big")
-    blocks = [first + index for index in range(BLOCKS)]
+    blocks = [first + index for index in range(BLOCK_COUNT)]
     request_id = f"cq-2.0123456789ab.60000.0123456789abcdef~{number:032x}"
     return messages.Demand(
         request_id,
         "engines#0",
         "tutor-assist",
-        f"team-{number % TEAMS}",
+        f"team-{number % TEAM_COUNT}",
         number % 4,
-        BLOCKS * 64,
+        BLOCK_COUNT * 64,
         204,
         20000,
         "",
@@ -91,24 +94,26 @@
 
 
 def seconds_per_demand() -> float:
-    """Return the processor time of demand, permit, dispatch news and release."""
+    """Return the processor time of demand, permit, dispatch update and release."""
     shard, policy = _shard()
-    replier = _Replier()
+    replier = _PermitCollector()
     decoder = frames.Decoder()
-    wires = [frames.encode(demand(number)) for number in range(RUNNING + DEMANDS)]
-    for wire in wires[:RUNNING]:
-        _one(shard, policy, replier, decoder, wire)
+    encoded_demands = [
+        frames.encode(demand(number)) for number in range(RUNNING_COUNT + DEMAND_COUNT)
+    ]
+    for encoded_demand in encoded_demands[:RUNNING_COUNT]:
+        _process_demand(shard, policy, replier, decoder, encoded_demand)
     start = time.process_time()
-    for wire in wires[RUNNING:]:
-        _one(shard, policy, replier, decoder, wire)
-        if len(shard.queue) > SERVERS:
-            raise RuntimeError("a queue grows: this is no steady state")
-        while replier.permits and len(shard.running) > RUNNING:
-            _end(shard, policy, decoder, replier.permits.pop(0))
-    return (time.process_time() - start) / DEMANDS
+    for encoded_demand in encoded_demands[RUNNING_COUNT:]:
+        _process_demand(shard, policy, replier, decoder, encoded_demand)
+        if len(shard.queue) > SERVER_COUNT:
+            raise RuntimeError("the queue grows: the shard is not in a steady state")
+        while replier.permits and len(shard.running) > RUNNING_COUNT:
+            _process_release(shard, policy, decoder, replier.permits.pop(0))
+    return (time.process_time() - start) / DEMAND_COUNT
 
 
-def _end(
+def _process_release(
     shard: shards.Shard,
     policy: policies.Policy,
     decoder: frames.Decoder,
@@ -131,14 +136,14 @@
         shard.drop(message.id)
 
 
-def _one(
+def _process_demand(
     shard: shards.Shard,
     policy: policies.Policy,
-    replier: _Replier,
+    replier: _PermitCollector,
     decoder: frames.Decoder,
-    wire: bytes,
+    encoded_demand: bytes,
 ) -> None:
-    for message in decoder.feed(wire):
+    for message in decoder.feed(encoded_demand):
         assert isinstance(message, messages.Demand)
         shard.add(message, replier)
         policy.serve()
@@ -147,38 +152,38 @@
 
 
 def seconds_per_full_pass() -> float:
-    """Return the processor time of one pass over a queue of which nothing fits."""
+    """Return the processor time of one pass over a queue without a grantable demand."""
     shard, policy = _shard()
-    replier = _Replier()
+    replier = _PermitCollector()
     decoder = frames.Decoder()
     number = 0
-    while len(shard.queue) < WAITING:
-        _one(shard, policy, replier, decoder, frames.encode(demand(number)))
+    while len(shard.queue) < WAITING_COUNT:
+        _process_demand(shard, policy, replier, decoder, frames.encode(demand(number)))
         number += 1
     before = len(shard.queue)
     start = time.process_time()
-    for _ in range(PASSES):
+    for _ in range(PASS_COUNT):
         policy.serve()
-    seconds = (time.process_time() - start) / PASSES
+    seconds = (time.process_time() - start) / PASS_COUNT
     if len(shard.queue) != before:
-        raise RuntimeError("something was granted or shed: no full pass")
+        raise RuntimeError("a demand was granted or shed during a full pass")
     return seconds
 
 
 def bytes_per_demand() -> float:
-    """Return the memory of one demand in the queue."""
+    """Return the memory of one queued demand."""
     shard, _policy = _shard()
-    replier = _Replier()
+    replier = _PermitCollector()
     decoder = frames.Decoder()
-    wires = [frames.encode(demand(number)) for number in range(QUEUED)]
+    encoded_demands = [frames.encode(demand(number)) for number in range(QUEUED_COUNT)]
     tracemalloc.start()
-    for wire in wires:
-        for message in decoder.feed(wire):
+    for encoded_demand in encoded_demands:
+        for message in decoder.feed(encoded_demand):
             assert isinstance(message, messages.Demand)
             shard.add(message, replier)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return size / QUEUED
+    return size / QUEUED_COUNT
 
 
 def bytes_per_block() -> float:
@@ -190,4 +195,4 @@
         index.add(blocks)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return size / (200 * BLOCKS)
+    return size / (200 * BLOCK_COUNT)
--- a/packages/dev/cassiaquay_dev/sizing/slopes_path.py
+++ b/packages/dev/cassiaquay_dev/sizing/slopes_path.py
@@ -1,7 +1,8 @@
-"""Slopes of the data path, from the processor time of one daemon's process.
+"""Slopes of the data path, from the processor time of one daemon process.
 
-The same number of requests with short and with long answers; the difference is that of
-the events. Callers and engines are other processes.
+Two runs send an equal number of requests, one with short and one with long answers. The
+difference in processor time is the cost of the additional events. Callers and engines
+run in other processes.
 """
 
 import asyncio
@@ -15,14 +16,14 @@
 
 from .. import cluster, deployments
 
-REQUESTS = 240
-AT_A_TIME = 40
+REQUEST_COUNT = 240
+MAX_CONCURRENT_REQUESTS = 40
 SHORT_TOKENS, LONG_TOKENS = 8, 108
 IDLE_SECONDS = 2.0
 
 
 class PathCost(typing.NamedTuple):
-    """What one daemon spends."""
+    """Processor time and idle memory of one daemon."""
 
     seconds_per_request: float
     seconds_per_event: float
@@ -35,7 +36,7 @@
 
 
 def seconds_per_event() -> float:
-    """Return the processor time of one event."""
+    """Return the processor time of one streamed event."""
     return measure().seconds_per_event
 
 
@@ -46,7 +47,7 @@
 
 @functools.cache
 def measure() -> PathCost:
-    """Run one daemon under load and return what it spent."""
+    """Run one daemon under load and return its costs."""
     return asyncio.run(_measure())
 
 
@@ -58,41 +59,43 @@
             await started.start()
             pid = started.daemons["cq-1"].pid
             resident = _resident_bytes(pid)
-            await _load(started, 4)
-            short = await _spent(started, pid, SHORT_TOKENS)
-            long = await _spent(started, pid, LONG_TOKENS)
+            await _send_load(started, 4)
+            short = await _load_processor_seconds(started, pid, SHORT_TOKENS)
+            long = await _load_processor_seconds(started, pid, LONG_TOKENS)
         finally:
             await started.stop()
-    per_event = (long - short) / REQUESTS / (LONG_TOKENS - SHORT_TOKENS)
-    per_request = short / REQUESTS - SHORT_TOKENS * per_event
+    per_event = (long - short) / REQUEST_COUNT / (LONG_TOKENS - SHORT_TOKENS)
+    per_request = short / REQUEST_COUNT - SHORT_TOKENS * per_event
     return PathCost(per_request, per_event, resident)
 
 
-async def _spent(started: cluster.Cluster, pid: int, tokens: int) -> float:
+async def _load_processor_seconds(
+    started: cluster.Cluster, pid: int, tokens: int
+) -> float:
     loop = asyncio.get_running_loop()
-    before, at = _processor_seconds(pid), loop.time()
+    before, start = _processor_seconds(pid), loop.time()
     await asyncio.sleep(IDLE_SECONDS)
-    idle = (_processor_seconds(pid) - before) / (loop.time() - at)
-    before, at = _processor_seconds(pid), loop.time()
-    await _load(started, tokens)
-    return _processor_seconds(pid) - before - idle * (loop.time() - at)
+    idle = (_processor_seconds(pid) - before) / (loop.time() - start)
+    before, start = _processor_seconds(pid), loop.time()
+    await _send_load(started, tokens)
+    return _processor_seconds(pid) - before - idle * (loop.time() - start)
 
 
-async def _load(started: cluster.Cluster, tokens: int) -> None:
+async def _send_load(started: cluster.Cluster, tokens: int) -> None:
     team = started.deployment.teams[0]
     settings = cassiaquay.Settings(seeds=started.seeds, credential=team.credential)
-    gate = asyncio.Semaphore(AT_A_TIME)
+    limiter = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     async with cassiaquay.Session(settings) as session:
 
         async def ask(number: int) -> None:
-            async with gate:
+            async with limiter:
                 await session.ask(
                     started.deployment.model_service,
                     f"question {number} of {tokens}",
                     max_tokens=tokens,
                 )
 
-        await asyncio.gather(*(ask(number) for number in range(REQUESTS)))
+        await asyncio.gather(*(ask(number) for number in range(REQUEST_COUNT)))
 
 
 def _processor_seconds(pid: int) -> float:
@@ -104,4 +107,4 @@
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) * 1024.0
-    raise OSError(f"no VmRSS of process {pid}")
+    raise OSError(f"no VmRSS line in the status of process {pid}")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page is what the measured slopes give."""
+"""Tests of the capacity page, which is computed from the measured slopes."""
 
 import datetime
 import pathlib
@@ -14,26 +14,26 @@
     return slopes.Slope(value=value, command="c", date=datetime.date(2026, 1, 2))
 
 
-def test_the_page_is_up_to_date() -> None:
+def test_capacity_page_is_up_to_date() -> None:
     assert capacity.main(["--check"]) == 0
 
 
-def test_loads_follow_from_the_letters_sizes() -> None:
+def test_loads_are_derived_from_target_size() -> None:
     assert pytest.approx(204.5, abs=0.1) == SIZE.tokens_per_request
     assert pytest.approx(17.1, abs=0.1) == SIZE.seconds_per_request
     assert SIZE.shards == 48
 
 
-def test_what_is_not_measured_is_said_so() -> None:
+def test_unmeasured_slopes_are_reported_as_not_measured() -> None:
     page = capacity_page.render({})
-    assert page.count("| not measured |") > len(slopes.KNOWN)
+    assert page.count("| not measured |") > len(slopes.DEFINITIONS)
     for name in capacity_roles.roles.names():
         cost = capacity_roles.roles.get(name).cost(SIZE, {})
         assert None in cost
         assert not any(cost)
 
 
-def test_a_slope_moves_its_role_and_its_reach() -> None:
+def test_slope_changes_role_cost_and_shortfall() -> None:
     name = "renewal_wire_bytes_per_item"
     role = capacity_roles.roles.get("4 renewals at that keeper")
     one = role.cost(SIZE, {name: _slope(1.0)}).wire
@@ -44,7 +44,7 @@
     assert "renewals within" not in capacity_page.render({name: _slope(0.1)})
 
 
-def test_slopes_are_read_as_written(tmp_path: pathlib.Path) -> None:
+def test_slopes_read_back_as_written(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "slopes.toml"
     path.write_text("# head\n")
     found = {"base_bytes": _slope(2.5e7), "member_bytes": _slope(0.125)}
