--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -24,7 +24,7 @@
     return f"{TEXT}# change {number}\n"
 
 
-def unsound() -> str:
+def invalid_text() -> str:
     """Return an invalid fleet text, in which two tiers have the same rank."""
     return TEXT.replace("rank = 1", "rank = 0")
 
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.published = light.Published()
         self.listing = light.Listing()
-        self.lives: dict[str, light.Light] = {}
+        self.instances: dict[str, light.Light] = {}
 
     async def add(
         self,
@@ -52,7 +52,7 @@
             name, domain, seeds, keys, **(SHORT_PERIODS | membership)
         )
         instance = light.Light(settings, published or self.published, self.listing)
-        self.lives[name] = instance
+        self.instances[name] = instance
         await instance.start()
         if enlist:
             instance.enlist()
@@ -65,19 +65,21 @@
 
     async def kill(self, name: str) -> None:
         """Stop an instance without a graceful shutdown."""
-        await self.lives.pop(name).stop()
+        await self.instances.pop(name).stop()
 
-    async def agree(self, names: collections.abc.Iterable[str] | None = None) -> None:
+    async def wait_for_members(
+        self, names: collections.abc.Iterable[str] | None = None
+    ) -> None:
         """Wait until all member lists equal ``names``, by default all instances."""
-        expected = set(self.lives if names is None else names)
-        instances = self.lives.values()
+        expected = set(self.instances if names is None else names)
+        instances = self.instances.values()
         await light.until(
             lambda: all(instance.view == expected for instance in instances), TIMEOUT_S
         )
 
-    async def reach(self, revision: int) -> None:
+    async def wait_for_revision(self, revision: int) -> None:
         """Wait until a configuration revision is in force at all instances."""
-        instances = self.lives.values()
+        instances = self.instances.values()
         await light.until(
             lambda: all(
                 instance.configuration.revision == revision for instance in instances
@@ -94,4 +96,6 @@
     try:
         yield created
     finally:
-        await asyncio.gather(*(instance.stop() for instance in created.lives.values()))
+        await asyncio.gather(
+            *(instance.stop() for instance in created.instances.values())
+        )
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -18,9 +18,9 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(5)
-            await fleet.reach(1)
+            await fleet.wait_for_revision(1)
             fleet.published.publish(2, fleets.text(2))
-            await fleet.reach(2)
+            await fleet.wait_for_revision(2)
 
     asyncio.run(run())
 
@@ -34,18 +34,20 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(3)
-            await fleet.reach(1)
-            fleet.published.publish(2, fleets.unsound())
-            lives = fleet.lives.values()
-            await light.until(lambda: any(x.configuration.rejected for x in lives), 10)
-            reports = [x.configuration.rejected.get(2, "") for x in lives]
+            await fleet.wait_for_revision(1)
+            fleet.published.publish(2, fleets.invalid_text())
+            instances = fleet.instances.values()
+            await light.until(
+                lambda: any(x.configuration.rejected for x in instances), 10
+            )
+            reports = [x.configuration.rejected.get(2, "") for x in instances]
             report = next(filter(None, reports))
             assert "tiers.interactive.rank" in report
             assert "rank 0 is that of tier 'urgent' too" in report
-            assert {x.configuration.revision for x in lives} == {1}
+            assert {x.configuration.revision for x in instances} == {1}
             fleet.published.publish(3, fleets.text(3))
-            await fleet.reach(3)
-            assert all(x.in_force in ([1, 3], [3]) for x in lives)
+            await fleet.wait_for_revision(3)
+            assert all(x.in_force in ([1, 3], [3]) for x in instances)
 
     asyncio.run(run())
 
@@ -75,8 +77,8 @@
             assert one.configuration.current is None
             assert one.view == set()
             fleet.published.down = False
-            await fleet.reach(1)
-            await fleet.agree()
+            await fleet.wait_for_revision(1)
+            await fleet.wait_for_members()
 
     asyncio.run(run())
 
@@ -87,11 +89,11 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(2)
-            await fleet.reach(1)
+            await fleet.wait_for_revision(1)
             fleet.published.down = True
             await fleet.add("cq-3")
-            await fleet.reach(1)
-            await fleet.agree()
+            await fleet.wait_for_revision(1)
+            await fleet.wait_for_members()
 
     asyncio.run(run())
 
@@ -107,11 +109,11 @@
         async with fleets.fleet() as fleet:
             await fleet.add_many(3)
             fleet.published.publish(2, fleets.text(2))
-            await fleet.reach(2)
+            await fleet.wait_for_revision(2)
             fleet.published.publish(1, fleets.text(1))
             await fleet.kill("cq-2")
             new = await fleet.add("cq-2")
-            await fleet.reach(2)
+            await fleet.wait_for_revision(2)
             assert new.in_force == [2]
 
     asyncio.run(run())
@@ -127,13 +129,13 @@
         async with fleets.fleet() as fleet:
             await fleet.add_many(4)
             fleet.published.publish(2, fleets.text(2))
-            await fleet.reach(2)
+            await fleet.wait_for_revision(2)
             fleet.published.publish(1, fleets.text(1))
             for number in range(1, 5):
-                await fleet.agree()
+                await fleet.wait_for_members()
                 await fleet.kill(f"cq-{number}")
                 new = await fleet.add(f"cq-{number}")
-                await fleet.reach(2)
+                await fleet.wait_for_revision(2)
                 assert new.in_force == [2]
 
     asyncio.run(run())
@@ -150,14 +152,14 @@
         async with fleets.fleet() as fleet:
             await fleet.add_many(2)
             fleet.published.publish(2, fleets.text(2))
-            await fleet.reach(2)
+            await fleet.wait_for_revision(2)
             await fleet.kill("cq-1")
             await fleet.kill("cq-2")
             fleet.published.publish(1, fleets.text(1))
             await fleet.add_many(2)
-            await fleet.reach(1)
+            await fleet.wait_for_revision(1)
             fleet.published.publish(2, fleets.text(2))
-            await fleet.reach(2)
+            await fleet.wait_for_revision(2)
 
     asyncio.run(run())
 
@@ -166,7 +168,7 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(3)
-            await fleet.reach(1)
+            await fleet.wait_for_revision(1)
             for number in range(2, 8):
                 fleet.published.publish(number, fleets.text(number))
                 await asyncio.sleep(0.02)
@@ -175,8 +177,8 @@
                 await asyncio.sleep(0.02)
             fleet.published.down = False
             fleet.published.publish(8, fleets.text(8))
-            await fleet.reach(8)
-            for one in fleet.lives.values():
+            await fleet.wait_for_revision(8)
+            for one in fleet.instances.values():
                 assert one.in_force == sorted(set(one.in_force))
 
     asyncio.run(run())
@@ -190,9 +192,9 @@
             ghost = await fleet.add("cq-9")
             await fleet.kill("cq-9")
             await fleet.add("cq-1")
-            await fleet.reach(1)
-            assert fleet.lives["cq-1"].view == {"cq-1"}
-            assert ghost.name not in fleet.lives
+            await fleet.wait_for_revision(1)
+            assert fleet.instances["cq-1"].view == {"cq-1"}
+            assert ghost.name not in fleet.instances
 
     asyncio.run(run())
 
@@ -209,7 +211,7 @@
             old.publish(1, fleets.text(1))
             one, two = await fleet.add_many(2)
             far = await fleet.add("cq-3", published=old)
-            await fleet.agree()
+            await fleet.wait_for_members()
             for near in (one, two):
                 light.separate(near, far)
             fleet.published.publish(3, fleets.text(3))
@@ -217,7 +219,7 @@
             assert far.configuration.revision == 1
             for near in (one, two):
                 light.join(near, far)
-            await fleet.reach(3)
+            await fleet.wait_for_revision(3)
             assert far.in_force == [1, 3]
 
     asyncio.run(run())
@@ -237,10 +239,10 @@
             fleet.published.publish(2, fleets.text(21))
             await fleet.add_many(2)
             await fleet.add("cq-3", published=other)
-            lives = fleet.lives.values()
+            instances = fleet.instances.values()
 
             def same() -> bool:
-                current = [one.configuration.current for one in lives]
+                current = [one.configuration.current for one in instances]
                 return all(found and found.text == wanted for found in current)
 
             await light.until(same, 10)
@@ -257,12 +259,12 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             _, two, _ = await fleet.add_many(3)
-            await fleet.agree()
+            await fleet.wait_for_members()
             two.slept += 60.0
             assert not two.pauses.is_current
             fleet.published.publish(2, fleets.text(2))
             await light.until(lambda: two.pauses.is_current, 10)
-            await fleet.reach(2)
+            await fleet.wait_for_revision(2)
             assert two.pauses.count == 1
             assert two.in_force == [1, 2]
 
@@ -275,7 +277,7 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             one, two = await fleet.add_many(2)
-            await fleet.agree()
+            await fleet.wait_for_members()
             two.slept += 60.0
             assert not two.pauses.is_current
             link = two.peers.link("cq-1", one.peers.address)
@@ -309,11 +311,11 @@
             out_of_reach.down = True
             for number in range(1, 8):
                 await fleet.add(f"cq-{number}", published=out_of_reach)
-            await fleet.reach(1)
-            await fleet.agree()
+            await fleet.wait_for_revision(1)
+            await fleet.wait_for_members()
             monkeypatch.setattr(peers.Link, "send", count)
             fleet.published.publish(2, fleets.text(2))
-            await fleet.reach(2)
+            await fleet.wait_for_revision(2)
 
     asyncio.run(run())
     texts = [m for m in sent if isinstance(m, messages.ConfigurationText)]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -20,7 +20,7 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(5)
-            await fleet.agree()
+            await fleet.wait_for_members()
 
     asyncio.run(run())
 
@@ -38,7 +38,7 @@
             first = await fleet.add("cq-1")
             for number in range(2, 5):
                 await fleet.add(f"cq-{number}", seeds=[first.peers.address])
-            await fleet.agree()
+            await fleet.wait_for_members()
 
     asyncio.run(run())
 
@@ -53,10 +53,10 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(4)
-            await fleet.agree()
+            await fleet.wait_for_members()
             await fleet.kill("cq-4")
-            await fleet.agree()
-            for one in fleet.lives.values():
+            await fleet.wait_for_members()
+            for one in fleet.instances.values():
                 answer = addresses.answer(one.settings, one.membership, "east")
                 assert "cq-4" not in [a["instance"] for a in answer["addresses"]]
 
@@ -73,12 +73,12 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             one, other, *_ = await fleet.add_many(4)
-            await fleet.agree()
+            await fleet.wait_for_members()
             light.separate(one, other)
             for _ in range(40):
                 await asyncio.sleep(0.03)
-                views = [life.view for life in fleet.lives.values()]
-                assert views == [set(fleet.lives)] * 4
+                views = [instance.view for instance in fleet.instances.values()]
+                assert views == [set(fleet.instances)] * 4
 
     asyncio.run(run())
 
@@ -92,16 +92,16 @@
 
     async def run() -> None:
         async with fleets.fleet() as fleet:
-            lives = await fleet.add_many(12, neighbours=2, suspect_after=0.6)
-            await fleet.agree()
+            instances = await fleet.add_many(12, neighbours=2, suspect_after=0.6)
+            await fleet.wait_for_members()
             await asyncio.sleep(1.5)
-            one = lives[0]
-            other = fleet.lives[next(iter(one.membership.neighbours()))]
+            one = instances[0]
+            other = fleet.instances[next(iter(one.membership.neighbours()))]
             light.separate(one, other)
             for _ in range(60):
                 await asyncio.sleep(0.03)
-                views = [life.view for life in fleet.lives.values()]
-                assert views == [set(fleet.lives)] * 12
+                views = [instance.view for instance in fleet.instances.values()]
+                assert views == [set(fleet.instances)] * 12
 
     asyncio.run(run())
 
@@ -116,7 +116,7 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             one, other, third = await fleet.add_many(3)
-            await fleet.agree()
+            await fleet.wait_for_members()
             third.pause()
             await light.until(lambda: one.view == {"cq-1", "cq-2"}, 3)
             await light.until(lambda: other.view == {"cq-1", "cq-2"}, 3)
@@ -134,7 +134,7 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             a, b, c, d = await fleet.add_many(4)
-            await fleet.agree()
+            await fleet.wait_for_members()
             fleet.listing.down = True
             pairs = [(a, c), (a, d), (b, c), (b, d)]
             for one, other in pairs:
@@ -144,7 +144,7 @@
             await light.until(lambda: len(a.membership.facts.records) == 2, 10)
             for one, other in pairs:
                 light.join(one, other)
-            await fleet.agree()
+            await fleet.wait_for_members()
 
     asyncio.run(run())
 
@@ -161,7 +161,7 @@
         async with fleets.fleet() as fleet:
             one, other, third = await fleet.add_many(3, refresh_seconds=0.1)
             light.separate(one, other)
-            await fleet.agree()
+            await fleet.wait_for_members()
             light.separate(one, third)
             await light.until(lambda: one.view == {"cq-1"}, 10)
 
@@ -172,7 +172,7 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             one, two = await fleet.add_many(2)
-            await fleet.agree()
+            await fleet.wait_for_members()
             old = two.incarnation
             await fleet.kill("cq-2")
             new = await fleet.add("cq-2")
@@ -191,9 +191,9 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             *_, last = await fleet.add_many(3)
-            await fleet.agree()
+            await fleet.wait_for_members()
             last.membership.announce_leaving()
-            await fleet.agree(["cq-1", "cq-2"])
+            await fleet.wait_for_members(["cq-1", "cq-2"])
 
     asyncio.run(run())
 
@@ -208,10 +208,10 @@
         async with fleets.fleet() as fleet:
             *_, last = await fleet.add_many(3)
             last.enlist(leaving=True)
-            await fleet.agree(["cq-1", "cq-2"])
+            await fleet.wait_for_members(["cq-1", "cq-2"])
             line = fleet.listing.lines["cq-3"]
             fleet.listing.lines["cq-3"] = line._replace(http="10.9.9.9:80")
-            await fleet.agree(["cq-1", "cq-2", "cq-3"])
+            await fleet.wait_for_members(["cq-1", "cq-2", "cq-3"])
 
     asyncio.run(run())
 
@@ -220,11 +220,11 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(3)
-            await fleet.agree()
+            await fleet.wait_for_members()
             del fleet.listing.lines["cq-3"]
             calls = fleet.listing.calls
             await light.until(lambda: fleet.listing.calls > calls + 9, 10)
-            await fleet.agree(["cq-1", "cq-2", "cq-3"])
+            await fleet.wait_for_members(["cq-1", "cq-2", "cq-3"])
 
     asyncio.run(run())
 
@@ -238,13 +238,13 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(24, neighbours=3, period=0.1, suspect_after=0.8)
-            await fleet.agree()
+            await fleet.wait_for_members()
             watched = collections.Counter()
-            for one in fleet.lives.values():
+            for one in fleet.instances.values():
                 watched.update(one.membership.neighbours().keys())
                 assert len(one.membership.neighbours()) == 3
             await fleet.kill("cq-7")
-            await fleet.agree()
+            await fleet.wait_for_members()
 
     asyncio.run(run())
 
@@ -260,15 +260,15 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(24, neighbours=3, period=0.1, suspect_after=0.8)
-            await fleet.agree()
+            await fleet.wait_for_members()
             chose: dict[str, set[str]] = collections.defaultdict(set)
-            for name, one in fleet.lives.items():
+            for name, one in fleet.instances.items():
                 for other in one.membership.neighbours():
                     chose[name].add(other)
                     chose[other].add(name)
 
             def has_expected_links() -> bool:
-                for name, one in fleet.lives.items():
+                for name, one in fleet.instances.items():
                     used = {link.instance for link in one.membership._links_to_use()}
                     if used != chose[name]:
                         return False
@@ -310,7 +310,9 @@
             await fleet.add_many(2)
             stranger = await fleet.add("cq-9", keys=["another key"])
             await light.until(lambda: stranger.pauses.is_current, 10)
-            await light.until(lambda: fleet.lives["cq-1"].view == {"cq-1", "cq-2"}, 10)
+            await light.until(
+                lambda: fleet.instances["cq-1"].view == {"cq-1", "cq-2"}, 10
+            )
             assert stranger.view == {"cq-9"}
 
     asyncio.run(run())
@@ -329,7 +331,7 @@
             async with fleets.fleet() as fleet:
                 await fleet.add("cq-1", keys=before)
                 await fleet.add("cq-2", keys=after)
-                await fleet.agree()
+                await fleet.wait_for_members()
 
     asyncio.run(run())
 
@@ -355,14 +357,14 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             one, _ = await fleet.add_many(2)
-            await fleet.agree()
+            await fleet.wait_for_members()
             host, _, port = one.peers.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"\xc1\xff" * 100)
             while await reader.read(4096):
                 pass
             writer.close()
-            await fleet.agree()
+            await fleet.wait_for_members()
 
     asyncio.run(run())
 
@@ -382,7 +384,7 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             one, two = await fleet.add_many(2)
-            await fleet.agree()
+            await fleet.wait_for_members()
             answer = addresses.answer(one.settings, one.membership, "east")
             made = {a["instance"]: a["token"] for a in answer["addresses"]}
             found = tokens.parse(two.settings.keys, f"{made['cq-2']}~x")
@@ -403,8 +405,8 @@
         async with fleets.fleet() as fleet:
             for number in range(9):
                 await fleet.add(f"cq-{number}", domain=f"d{number % 3}")
-            await fleet.agree()
-            one = fleet.lives["cq-0"]
+            await fleet.wait_for_members()
+            one = fleet.instances["cq-0"]
 
             def first(domain: str) -> collections.Counter[str]:
                 counted: collections.Counter[str] = collections.Counter()
@@ -436,14 +438,14 @@
     async def run() -> None:
         async with fleets.fleet() as fleet:
             one, two, _ = await fleet.add_many(3)
-            await fleet.agree()
+            await fleet.wait_for_members()
             before = one.membership.facts.records["cq-2"].order
             one.membership.facts.suspect(messages.Suspicion("cq-2", *before))
             await light.until(
                 lambda: one.membership.facts.records["cq-2"].order > before, 10
             )
-            await fleet.agree()
-            assert two.view == set(fleet.lives)
+            await fleet.wait_for_members()
+            assert two.view == set(fleet.instances)
 
     asyncio.run(run())
 
@@ -459,7 +461,7 @@
             first = await fleet.add("cq-1")
             await asyncio.sleep(0.1)
             second = await fleet.add("cq-2")
-            await fleet.agree()
+            await fleet.wait_for_members()
             assert second.membership.has_older_instances()
             assert not first.membership.has_older_instances()
 
