--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -25,11 +25,11 @@
 
 # Callers that fetched addresses just before the shutdown still connect for a moment.
 # They get "not run" and another address instead of a refused connection.
-LINGER_S = 1.0
+LINGER_SECONDS = 1.0
 # Servers close idle connections, commonly after 5 s. A request written to a connection
 # that is being closed may or may not have run, and its caller gets `outcome_unknown`.
 # Closing idle connections well before the servers do makes that rare.
-MAX_IDLE_CONNECTION_S = 2.0
+MAX_IDLE_CONNECTION_SECONDS = 2.0
 
 
 class Daemon:
@@ -54,7 +54,7 @@
         self._incarnation = tokens.new_incarnation()
         self._http = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
-                limit=0, keepalive_timeout=MAX_IDLE_CONNECTION_S
+                limit=0, keepalive_timeout=MAX_IDLE_CONNECTION_SECONDS
             ),
             trace_configs=[backends.tracing()],
             auto_decompress=False,
@@ -246,7 +246,7 @@
         else:
             self._membership.announce_leaving()
             await self._owner.leave()
-            await asyncio.sleep(LINGER_S)
+            await asyncio.sleep(LINGER_SECONDS)
         for server in listening:
             server.should_exit = True
         await asyncio.gather(*serving, return_exceptions=True)
--- a/packages/daemon/cassiaquay_daemon/fleet/budget_peers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/budget_peers.py
@@ -8,7 +8,7 @@
 
 # Partitions by failed machines and switches end within this time; counting lost
 # instances for longer would keep budgets too small after a permanent loss.
-RETENTION_S = 60.0
+RETENTION_SECONDS = 60.0
 
 
 class BudgetPeers:
@@ -21,7 +21,7 @@
     def count(self, known: int) -> int:
         """Return the number of instances to divide by; ``known`` are known now."""
         now = clock.now()
-        if known >= self._highest or now - self._highest_at > RETENTION_S:
+        if known >= self._highest or now - self._highest_at > RETENTION_SECONDS:
             self._highest = max(known, 1)
             self._highest_at = now
         return self._highest
--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -24,9 +24,9 @@
 # watchers cannot reach it.
 WATCHER_COUNT = 3
 OTHER_READS_PER_SECOND = 5.0
-RETRY_S = 0.3
+RETRY_SECONDS = 0.3
 # A text is requested from one neighbour at a time, from the next one after this time.
-REQUEST_TIMEOUT_S = 0.7
+REQUEST_TIMEOUT_SECONDS = 0.7
 # Larger texts are parsed in a thread: parsing one on the event loop would delay
 # heartbeats and responses.
 MIN_CHARACTERS_FOR_THREAD = 32_768
@@ -143,7 +143,7 @@
         """Request a neighbour's configuration when its heartbeat shows a newer one."""
         if not self.should_fetch(TextVersion(beat.revision, beat.digest)):
             return
-        if clock.now() - self._requested_at >= REQUEST_TIMEOUT_S:
+        if clock.now() - self._requested_at >= REQUEST_TIMEOUT_SECONDS:
             self.send_query(link)
 
     def send_query(self, link: peers.Link) -> None:
@@ -176,10 +176,10 @@
             is_accepted = await self.read_once(source, wait)
         except exceptions.PlatformError as error:
             logs.detail("configuration_unreadable", cause=str(error))
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_SECONDS)
             return False
         if is_accepted is False:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_SECONDS)
         return True
 
     async def read_once(
--- a/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
@@ -17,7 +17,7 @@
 
 # Instances expire reports at slightly different times, so tables differ briefly; the
 # table is therefore not resent with each heartbeat.
-RESEND_INTERVAL_S = 1.0
+RESEND_INTERVAL_SECONDS = 1.0
 NEVER = float("-inf")
 
 
@@ -106,7 +106,7 @@
         if beat.crashes_digest == self._quarantine.digest:
             return
         now = clock.now()
-        if now - self._sent_at.get(link, NEVER) < RESEND_INTERVAL_S:
+        if now - self._sent_at.get(link, NEVER) < RESEND_INTERVAL_SECONDS:
             return
         self._sent_at[link] = now
         reports = self._quarantine.reports()
--- a/packages/daemon/cassiaquay_daemon/fleet/gossip.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/gossip.py
@@ -13,7 +13,7 @@
 # charged without encoding them.
 MEMBER_BYTES = 130
 SUSPICION_BYTES = 40
-BURST_S = 20.0
+BURST_SECONDS = 20.0
 
 
 class Portion(typing.NamedTuple):
@@ -41,7 +41,7 @@
         self._instance = instance
         self._facts = known
         self._rate = float(bytes_per_second)
-        self._budget_bytes = self._rate * BURST_S
+        self._budget_bytes = self._rate * BURST_SECONDS
         self._filled_at = clock.now()
         self._sent_change: weakref.WeakKeyDictionary[peers.Link, int | None] = (
             weakref.WeakKeyDictionary()
@@ -89,5 +89,5 @@
     def _refill(self) -> None:
         now = clock.now()
         filled = self._budget_bytes + (now - self._filled_at) * self._rate
-        self._budget_bytes = min(filled, self._rate * BURST_S)
+        self._budget_bytes = min(filled, self._rate * BURST_SECONDS)
         self._filled_at = now
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -20,9 +20,9 @@
 # per interval: hundreds of instances balance callers so within the gossip budget.
 LOAD_STEP = 4.0
 LOAD_STEP_SHARE = 0.5
-LOAD_INTERVAL_S = 2.0
+LOAD_INTERVAL_SECONDS = 2.0
 # Partitions of regions last up to an hour; unlisted instances are redialled for two.
-LOST_RETENTION_S = 7200.0
+LOST_RETENTION_SECONDS = 7200.0
 
 
 class _LostMember(typing.NamedTuple):
@@ -360,7 +360,7 @@
                     self._neighbours = None
                 self._lost[name] = _LostMember(record.member.peer, now)
         for name, lost in list(self._lost.items()):
-            if now - lost.since > LOST_RETENTION_S and name not in self._listed:
+            if now - lost.since > LOST_RETENTION_SECONDS and name not in self._listed:
                 del self._lost[name]
         if not self._lost:
             return []
@@ -412,7 +412,7 @@
         difference = abs(load - self._load)
         if difference <= LOAD_STEP + LOAD_STEP_SHARE * self._load:
             return
-        if now - self._load_at < LOAD_INTERVAL_S:
+        if now - self._load_at < LOAD_INTERVAL_SECONDS:
             return
         self._load = load
         self._load_at = now
--- a/packages/daemon/cassiaquay_daemon/fleet/outages.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/outages.py
@@ -9,9 +9,9 @@
 
 # Registrations expire after three periods of 1.2 s, so none expires during a shorter
 # gap between two confirmations of the list.
-MIN_OUTAGE_S = 2.0
+MIN_OUTAGE_SECONDS = 2.0
 # Servers register again within two seconds of the platform's return.
-REREGISTRATION_S = 2.2
+REREGISTRATION_SECONDS = 2.2
 NEVER = float("-inf")
 
 
@@ -37,7 +37,7 @@
     @property
     def retained_until(self) -> float:
         """Read time of a list from which on missing servers are dropped."""
-        return self._returned_at + REREGISTRATION_S
+        return self._returned_at + REREGISTRATION_SECONDS
 
     def note_failure(self, began_at: float) -> None:
         """Note a failed read of the list."""
@@ -49,7 +49,7 @@
         A gap in which reads failed was an outage, from which the platform has returned.
         """
         gap_s = read_at - self._confirmed_at
-        if self._confirmed_at == NEVER or gap_s <= MIN_OUTAGE_S:
+        if self._confirmed_at == NEVER or gap_s <= MIN_OUTAGE_SECONDS:
             return
         if (
             self._returned_at > self._confirmed_at
@@ -61,7 +61,7 @@
 
     def confirm(self, read_at: float) -> None:
         """Note that the list was confirmed current at a time."""
-        if read_at - self._confirmed_at > MIN_OUTAGE_S:
+        if read_at - self._confirmed_at > MIN_OUTAGE_SECONDS:
             self._steady_since = read_at
         self._confirmed_at = max(self._confirmed_at, read_at)
 
@@ -72,7 +72,7 @@
         its own gap from an outage; instances that could reach the platform can.
         """
         # An older confirmation may date from before an outage that both have seen.
-        if confirmed_at <= self._returned_at - MIN_OUTAGE_S:
+        if confirmed_at <= self._returned_at - MIN_OUTAGE_SECONDS:
             return
         if steady_since < self._returned_at:
             self._returned_at = steady_since
--- a/packages/daemon/cassiaquay_daemon/fleet/renewal.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/renewal.py
@@ -13,11 +13,11 @@
 from ..links import peers
 from . import configuration, members
 
-POLL_INTERVAL_S = 0.02
+POLL_INTERVAL_SECONDS = 0.02
 # Neighbours have this long to answer if the platform answers first; live ones take some
 # milliseconds. During a fleet start an instance's neighbours change with each instance
 # that it discovers, and waiting for all would refuse every caller for seconds.
-NEIGHBOUR_TIMEOUT_S = 0.3
+NEIGHBOUR_TIMEOUT_SECONDS = 0.3
 
 
 class Renewal:
@@ -126,7 +126,7 @@
                 [peers_task, service], return_when=asyncio.FIRST_COMPLETED
             )
             if service.done():
-                remaining_s = began + NEIGHBOUR_TIMEOUT_S - clock.now()
+                remaining_s = began + NEIGHBOUR_TIMEOUT_SECONDS - clock.now()
                 await asyncio.wait([peers_task], timeout=max(remaining_s, 0.0))
             else:
                 await peers_task
@@ -148,7 +148,7 @@
                     is_waiting = True
             if not is_waiting and (self._answers or self._membership.listed):
                 return
-            await asyncio.sleep(POLL_INTERVAL_S)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     async def _fetch_newest_text(self) -> None:
         highest = configuration.NO_VERSION
@@ -162,7 +162,7 @@
             link = self._membership.link(holder)
             if link is not None:
                 self._configured.send_query(link)
-            await asyncio.sleep(configuration.REQUEST_TIMEOUT_S / 4)
+            await asyncio.sleep(configuration.REQUEST_TIMEOUT_SECONDS / 4)
 
     def _handle_refresh(self, link: peers.Link, question: messages.Refresh) -> None:
         link.send(
--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -19,17 +19,17 @@
 
 # Each rank in the order of readers adds this to the age at which an instance reads:
 # time for the reader before it to read and for a heartbeat to arrive.
-RANK_DELAY_S = 0.35
+RANK_DELAY_SECONDS = 0.35
 # Instances of this rank and beyond read at the same age; together they are still few.
 LAST_RANK = 2
 # Delay after a failed read, for readers before the last rank and for the others. The
 # latter wait longer: during an outage of the platform every list is too old, and
 # hundreds of instances would retry all the time.
-RETRY_DELAY_S = 0.15
-LAST_RANK_RETRY_DELAY_S = 1.0
+RETRY_DELAY_SECONDS = 0.15
+LAST_RANK_RETRY_DELAY_SECONDS = 1.0
 RETRY_JITTER = 0.4
-MIN_SLEEP_S = 0.1
-MAX_AGE_S = 3600.0
+MIN_SLEEP_SECONDS = 0.1
+MAX_AGE_SECONDS = 3600.0
 # A log line names at most this many servers: after a start all of them are new.
 MAX_LOGGED_NAMES = 8
 PLATFORM = "platform"
@@ -102,7 +102,7 @@
 
     @property
     def age_ms(self) -> int:
-        """The age in milliseconds, at most ``MAX_AGE_S``."""
+        """The age in milliseconds, at most ``MAX_AGE_SECONDS``."""
         return _milliseconds(self.age)
 
     @property
@@ -123,7 +123,7 @@
         while True:
             wait_s = self._next_read_at() - clock.now()
             if wait_s > 0.0:
-                await asyncio.sleep(max(wait_s, MIN_SLEEP_S))
+                await asyncio.sleep(max(wait_s, MIN_SLEEP_SECONDS))
                 continue
             if not await self.read_once():
                 await asyncio.sleep(self._retry_delay())
@@ -152,8 +152,8 @@
 
     def _retry_delay(self) -> float:
         if self._rank < LAST_RANK:
-            return RETRY_DELAY_S
-        return LAST_RANK_RETRY_DELAY_S * (1.0 + RETRY_JITTER * random.random())
+            return RETRY_DELAY_SECONDS
+        return LAST_RANK_RETRY_DELAY_SECONDS * (1.0 + RETRY_JITTER * random.random())
 
     def _next_read_at(self) -> float:
         """Return when to read the list next, in seconds on the local clock."""
@@ -162,7 +162,7 @@
             return due_at
         # A retained server that has left gets requests until a list that was read at
         # this time lacks it.
-        retained_until = self._outages.retained_until + self._rank * RANK_DELAY_S
+        retained_until = self._outages.retained_until + self._rank * RANK_DELAY_SECONDS
         return min(due_at, retained_until)
 
     def _max_age(self) -> float:
@@ -170,7 +170,7 @@
         if serving is not self._ranked:
             self._ranked = serving
             self._rank = self._rank_among(serving)
-        return self._settings.platform.servers_seconds + self._rank * RANK_DELAY_S
+        return self._settings.platform.servers_seconds + self._rank * RANK_DELAY_SECONDS
 
     def _rank_among(self, serving: list[messages.Member]) -> int:
         names = [member.instance for member in serving]
@@ -329,4 +329,4 @@
 
 
 def _milliseconds(seconds: float) -> int:
-    return int(min(seconds, MAX_AGE_S) * 1000)
+    return int(min(seconds, MAX_AGE_SECONDS) * 1000)
--- a/packages/daemon/cassiaquay_daemon/fleet/transit.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/transit.py
@@ -16,7 +16,7 @@
 from ..links import peers
 
 # Returned for the first heartbeat of a link, whose delay cannot be estimated.
-UNKNOWN_DELAY_S = 3600.0
+UNKNOWN_DELAY_SECONDS = 3600.0
 
 
 class Transit:
@@ -37,6 +37,6 @@
         smallest = self._smallest.get(link)
         if smallest is None:
             self._smallest[link] = difference
-            return UNKNOWN_DELAY_S
+            return UNKNOWN_DELAY_SECONDS
         self._smallest[link] = min(smallest, difference)
         return difference - self._smallest[link]
--- a/packages/daemon/cassiaquay_daemon/log_writer.py
+++ b/packages/daemon/cassiaquay_daemon/log_writer.py
@@ -14,7 +14,7 @@
 import time
 
 # Interval between writes, and thus what a killed process loses of its log.
-WRITE_INTERVAL_S = 0.1
+WRITE_INTERVAL_SECONDS = 0.1
 # Buffered lines: some seconds at full load, and 4 MB at most.
 MAX_BUFFERED_LINES = 10_000
 # Ten lines for each of 200 requests a second, far above one instance's share.
@@ -88,6 +88,6 @@
         super().close()
 
     def _run(self) -> None:
-        while not self._stopping.wait(WRITE_INTERVAL_S):
+        while not self._stopping.wait(WRITE_INTERVAL_SECONDS):
             self.flush()
         self.flush()
--- a/packages/daemon/cassiaquay_daemon/pause.py
+++ b/packages/daemon/cassiaquay_daemon/pause.py
@@ -12,7 +12,7 @@
 
 from . import clock, logs
 
-CHECK_INTERVAL_S = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 
 
 def shortest_lease(settings: settings_schema.Settings) -> float:
@@ -81,7 +81,7 @@
         """Check for pauses periodically until cancelled."""
         while True:
             self._check()
-            await asyncio.sleep(CHECK_INTERVAL_S)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def _check(self) -> None:
         now = self._now()
--- a/packages/daemon/cassiaquay_daemon/reloading.py
+++ b/packages/daemon/cassiaquay_daemon/reloading.py
@@ -15,7 +15,7 @@
 from . import logs, names
 
 # Polling interval of the settings file, for changes without a signal.
-POLL_INTERVAL_S = 2.0
+POLL_INTERVAL_SECONDS = 2.0
 # Settings whose changes take effect only after a restart.
 RESTART_ONLY = ("instance", "domain", "host", "peer_listen", "admin_port", "platform")
 
@@ -54,7 +54,7 @@
         while True:
             self.reload_if_changed()
             try:
-                async with asyncio.timeout(POLL_INTERVAL_S):
+                async with asyncio.timeout(POLL_INTERVAL_SECONDS):
                     await self._check_requested.wait()
             except TimeoutError:
                 continue
--- a/packages/dev/cassiaquay_dev/trials/history.py
+++ b/packages/dev/cassiaquay_dev/trials/history.py
@@ -223,7 +223,7 @@
 async def collect(started: cluster.Cluster, history: History) -> None:
     """Add the log lines of all daemons and back ends of a cluster."""
     # Daemons write their lines in batches; those of the last moment are on their way.
-    await asyncio.sleep(SETTLE_BATCHES * log_writer.WRITE_INTERVAL_S)
+    await asyncio.sleep(SETTLE_BATCHES * log_writer.WRITE_INTERVAL_SECONDS)
     collect_daemons(started, history)
     await collect_back_ends(started, history)
 
--- a/tests/caller_fakes.py
+++ b/tests/caller_fakes.py
@@ -16,7 +16,7 @@
 TEXTS = ["Two ", "plus ", "two ", "is ", "fünf."]
 DATA = [json.dumps({"text": text}, ensure_ascii=False) for text in TEXTS]
 DIGEST = xxhash.xxh3_128_hexdigest("".join(DATA).encode())
-TIMEOUT_S = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
 class ReceivedRequest(typing.NamedTuple):
@@ -147,7 +147,7 @@
 
 
 async def never_answer(_: int) -> responses.Response:
-    await asyncio.sleep(TIMEOUT_S)
+    await asyncio.sleep(TIMEOUT_SECONDS)
     return responses.JSONResponse({})
 
 
@@ -181,12 +181,12 @@
         )
         server = uvicorn.Server(config)
         tasks.append(asyncio.create_task(server.serve()))
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not server.started:
                 await asyncio.sleep(0.005)
         fake.ports.append(server.servers[0].sockets[0].getsockname()[1])
         servers.append(server)
-    values = {"backoff_base": 0.001, "timeout": TIMEOUT_S, **settings}
+    values = {"backoff_base": 0.001, "timeout": TIMEOUT_SECONDS, **settings}
     chosen = cassiaquay.Settings(
         seeds=[f"127.0.0.1:{fake.ports[0]}"],
         domain="east",
@@ -204,7 +204,7 @@
 
 def run(scenario: collections.abc.Coroutine[typing.Any, typing.Any, None]) -> None:
     async def run_with_timeout() -> None:
-        async with asyncio.timeout(3 * TIMEOUT_S):
+        async with asyncio.timeout(3 * TIMEOUT_SECONDS):
             await scenario
 
     asyncio.run(run_with_timeout())
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -7,7 +7,7 @@
 from cassiaquay_dev import deployments
 from cassiaquay_dev.sizing import light
 
-TIMEOUT_S = 15.0
+TIMEOUT_SECONDS = 15.0
 SHORT_PERIODS = {
     "period": 0.05,
     "suspect_after": 0.4,
@@ -74,7 +74,8 @@
         expected = set(self.instances if names is None else names)
         instances = self.instances.values()
         await light.until(
-            lambda: all(instance.view == expected for instance in instances), TIMEOUT_S
+            lambda: all(instance.view == expected for instance in instances),
+            TIMEOUT_SECONDS,
         )
 
     async def wait_for_revision(self, revision: int) -> None:
@@ -84,7 +85,7 @@
             lambda: all(
                 instance.configuration.revision == revision for instance in instances
             ),
-            TIMEOUT_S,
+            TIMEOUT_SECONDS,
         )
 
 
--- a/tests/test_caller.py
+++ b/tests/test_caller.py
@@ -24,7 +24,7 @@
         assert answer.text == "".join(fakes.TEXTS)
         assert answer.count == len(fakes.TEXTS)
         body = fake.received[0].body
-        assert 0 < body.pop("deadline_ms") <= fakes.TIMEOUT_S * 1000
+        assert 0 < body.pop("deadline_ms") <= fakes.TIMEOUT_SECONDS * 1000
         assert body == {
             "service": "tutor-assist",
             "prompt": "2+2?",
--- a/tests/test_caller_faults.py
+++ b/tests/test_caller_faults.py
@@ -144,7 +144,7 @@
     async def scenario() -> None:
         async with fakes.serve([fakes.never_answer]) as (fake, session):
             task = asyncio.create_task(session.ask("tutor-assist", "2+2?"))
-            async with asyncio.timeout(fakes.TIMEOUT_S):
+            async with asyncio.timeout(fakes.TIMEOUT_SECONDS):
                 while not fake.received:
                     await asyncio.sleep(0.005)
             task.cancel()
@@ -169,7 +169,7 @@
             fake.lists_addresses = False
             answered = 1
             with pytest.raises(exceptions.NoAddress):
-                async with asyncio.timeout(fakes.TIMEOUT_S):
+                async with asyncio.timeout(fakes.TIMEOUT_SECONDS):
                     while True:
                         await session.ask("tutor-assist", "2+2?")
                         answered += 1
@@ -182,7 +182,9 @@
 def test_no_address_is_raised_when_no_instance_answers():
     async def scenario() -> None:
         settings = cassiaquay.Settings(
-            [f"127.0.0.1:{ports.free_port()}"], timeout=fakes.TIMEOUT_S, max_attempts=2
+            [f"127.0.0.1:{ports.free_port()}"],
+            timeout=fakes.TIMEOUT_SECONDS,
+            max_attempts=2,
         )
         async with cassiaquay.Session(settings) as session:
             with pytest.raises(exceptions.NoAddress):
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -112,7 +112,7 @@
             else:
                 time.now += 0.3
         for _ in range(3):
-            time.now += crash_reports.RESEND_INTERVAL_S
+            time.now += crash_reports.RESEND_INTERVAL_SECONDS
             fleet.send_heartbeats()
         digests = {fleet.held[name].digest for name in NAMES}
         assert len(digests) == 1
