--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -98,7 +98,7 @@
     asyncio.run(run())
 
 
-def test_a_restart_against_a_stale_service_serves_by_the_newest_text() -> None:
+def test_an_instance_restarted_with_a_stale_service_uses_the_newest_text() -> None:
     """A restarted instance never puts revision 1 in force while the others have 2.
 
     The service returns revision 1 again. The instance queries the service and its peers
@@ -119,7 +119,7 @@
     asyncio.run(run())
 
 
-def test_all_are_replaced_one_after_another_while_the_service_is_stale() -> None:
+def test_a_rolling_restart_with_a_stale_service_keeps_the_newest_text() -> None:
     """No instance, old or new, ever goes back to revision 1.
 
     Revision 2 exists only on the running instances, which send it to new ones.
@@ -164,7 +164,7 @@
     asyncio.run(run())
 
 
-def test_a_flapping_service_moves_nobody_back() -> None:
+def test_a_flapping_service_causes_no_return_to_an_older_revision() -> None:
     async def run() -> None:
         async with fleets.fleet() as fleet:
             await fleet.add_many(3)
@@ -199,7 +199,7 @@
     asyncio.run(run())
 
 
-def test_a_side_cut_off_from_the_service_catches_up_after_the_partition() -> None:
+def test_a_partitioned_instance_gets_the_newest_text_after_the_partition() -> None:
     """An isolated instance, whose service stays at 1, is reconnected to its peers.
 
     It puts only revision 1 and then revision 3 in force.
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -106,7 +106,7 @@
     asyncio.run(run())
 
 
-def test_a_paused_instance_is_suspected_whoever_else_waits_for_it() -> None:
+def test_a_paused_instance_is_suspected_by_all_its_neighbours() -> None:
     """Callers are no longer sent to a paused instance two periods after the timeout.
 
     Its connections stay open but silent. Two instances that monitor it probe through
