--- a/packages/cli/cassiaquay_cli/burn_page.py
+++ b/packages/cli/cassiaquay_cli/burn_page.py
@@ -90,8 +90,11 @@
 def _objective_section(report: burn_sums.Report, item: burn_sums.ObjectiveBurn) -> str:
     parts = [f"<h2>{html.escape(item['service'])}, {html.escape(item['tier'])}</h2>"]
     for series in report["series"]:
-        same = (series["service"], series["tier"]) == (item["service"], item["tier"])
-        if same:
+        is_same_objective = (series["service"], series["tier"]) == (
+            item["service"],
+            item["tier"],
+        )
+        if is_same_objective:
             parts.append(_plot(series, item["share"]))
     if not item["burners"]:
         return "\n".join(parts)
--- a/packages/cli/cassiaquay_cli/burn_sums.py
+++ b/packages/cli/cassiaquay_cli/burn_sums.py
@@ -108,7 +108,7 @@
     answers = list(collected.answers.values())
     newest = max(answers, key=lambda item: item["revision"], default=None)
     objectives = newest["objectives"] if newest is not None else []
-    found = Report(
+    fleet_report = Report(
         at=time.time(),
         revision=newest["revision"] if newest is not None else 0,
         instances=len(answers),
@@ -121,13 +121,15 @@
     )
     for objective in objectives:
         for ring in ("fast", "slow"):
-            found["series"].append(_series(objective, ring, answers))
-    return found
+            fleet_report["series"].append(_series(objective, ring, answers))
+    return fleet_report
 
 
-def is_burning(found: Report) -> bool:
+def is_burning(fleet_report: Report) -> bool:
     """Return whether any objective has a verdict that needs attention."""
-    return any(item["verdict"] in ("page", "ticket") for item in found["objectives"])
+    return any(
+        item["verdict"] in ("page", "ticket") for item in fleet_report["objectives"]
+    )
 
 
 def _objective(
@@ -161,7 +163,7 @@
 def _sum_by_name(
     objective: bodies.Objective, answers: list[bodies.Burn], window: str, axis: str
 ) -> dict[str, tuple[int, int]]:
-    found: dict[str, tuple[int, int]] = {}
+    sums: dict[str, tuple[int, int]] = {}
     for answer in answers:
         for item in answer["report"]["windows"]:
             if item["name"] != window:
@@ -169,9 +171,9 @@
             for count in item["counts"]:
                 if count["axis"] != axis or not _matches(objective, count):
                     continue
-                total, good = found.get(count["name"], (0, 0))
-                found[count["name"]] = (total + count["total"], good + count["good"])
-    return found
+                total, good = sums.get(count["name"], (0, 0))
+                sums[count["name"]] = (total + count["total"], good + count["good"])
+    return sums
 
 
 def _matches(objective: bodies.Objective, count: bodies.Count | bodies.Point) -> bool:
@@ -213,7 +215,7 @@
 
 def _burners(objective: bodies.Objective, answers: list[bodies.Burn]) -> list[Burner]:
     total, good = _sum_by_name(objective, answers, PERIOD_WINDOW, "all").get("", (0, 0))
-    found = []
+    burners = []
     for axis in ("team", "server"):
         rows = []
         for name, (name_total, name_good) in _sum_by_name(
@@ -227,17 +229,17 @@
                 Burner(axis=axis, name=name, bad=bad, total=name_total, part=part)
             )
         rows.sort(key=lambda row: row["bad"], reverse=True)
-        found += rows[:MAX_BURNERS]
-    return found
+        burners += rows[:MAX_BURNERS]
+    return burners
 
 
 def _partial_instances(answers: list[bodies.Burn]) -> list[PartialInstance]:
-    found = []
+    partial = []
     for answer in answers:
         window = answer["report"]["windows"][-1]
         if window["counted_seconds"] >= window["seconds"]:
             continue
-        found.append(
+        partial.append(
             PartialInstance(
                 instance=answer["instance"],
                 incarnation=answer["incarnation"],
@@ -245,20 +247,20 @@
                 counted_seconds=window["counted_seconds"],
             )
         )
-    return found
+    return partial
 
 
 def _coverage(answers: list[bodies.Burn], missing: int) -> dict[str, float]:
     """Return by window the share of the instances' time that their counts cover."""
-    found = {}
+    coverage = {}
     for name in (*FAST_WINDOWS, *SLOW_WINDOWS):
         counted = 0.0
         for answer in answers:
             for window in answer["report"]["windows"]:
                 if window["name"] == name:
                     counted += window["counted_seconds"] / window["seconds"]
-        found[name] = counted / max(len(answers) + missing, 1)
-    return found
+        coverage[name] = counted / max(len(answers) + missing, 1)
+    return coverage
 
 
 def _series(
--- a/packages/cli/cassiaquay_cli/drain.py
+++ b/packages/cli/cassiaquay_cli/drain.py
@@ -78,10 +78,10 @@
     """
 
     async def work(client: clients.Client) -> outputs.Output:
-        chosen = find_instance(await client.instances(), str(instance), force)
-        await client.post("/v1/drain", chosen["admin"])
+        target = find_instance(await client.instances(), str(instance), force)
+        await client.post("/v1/drain", target["admin"])
         if wait:
-            await wait_until_gone(client, chosen["admin"], timeout)
+            await wait_until_gone(client, target["admin"], timeout)
         text = f"{instance} has gone" if wait else f"{instance} is draining"
         return outputs.Output(text, {"instance": instance, "gone": wait})
 
--- a/packages/cli/cassiaquay_cli/top.py
+++ b/packages/cli/cassiaquay_cli/top.py
@@ -15,7 +15,7 @@
     before: dict[str, bodies.Status], now: dict[str, bodies.Status], seconds: float
 ) -> dict[str, float]:
     """Return ended requests per second by outcome, summed over all instances."""
-    found = dict.fromkeys(OUTCOMES, 0.0)
+    rates = dict.fromkeys(OUTCOMES, 0.0)
     for name, current in now.items():
         old = before.get(name)
         # A restarted instance counts from 0 again, so no rate can be computed.
@@ -23,8 +23,8 @@
             continue
         for outcome, count in current["ended"].items():
             difference = count - old["ended"].get(outcome, 0)
-            found[outcome] = found.get(outcome, 0.0) + difference / seconds
-    return found
+            rates[outcome] = rates.get(outcome, 0.0) + difference / seconds
+    return rates
 
 
 def format_screen(fleet: status.Fleet, speed: dict[str, float]) -> str:
--- a/packages/cli/cassiaquay_cli/trace.py
+++ b/packages/cli/cassiaquay_cli/trace.py
@@ -107,8 +107,8 @@
 @causes.register("caller_gone")
 def _caller_gone(request_lines: Lines) -> str:
     fields = request_lines[-1].fields
-    had = "a server had it" if fields.get("sent") == "true" else "no server had it"
-    return f"its caller closed first, after {fields.get('ms')} ms; {had}"
+    sent = "a server had it" if fields.get("sent") == "true" else "no server had it"
+    return f"its caller closed first, after {fields.get('ms')} ms; {sent}"
 
 
 def trace(id: str, lines: Lines) -> Traced:
--- a/packages/daemon/cassiaquay_daemon/adapters/backends.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/backends.py
@@ -201,7 +201,7 @@
                 answer.open()
                 return await _read(response, answer)
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            raise breaks.to_stream_cut(error) from error
+            raise breaks.to_stream_interrupted(error) from error
 
     async def cancel(self, server: fleet.Server, key: str) -> WastedTokens | None:
         """Stop a stream."""
@@ -273,7 +273,7 @@
             raise exceptions.NotSent(str(error)) from error
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             # The request may have run, and plain services keep no answer to read again.
-            raise breaks.to_stream_cut(error) from error
+            raise breaks.to_stream_interrupted(error) from error
         try:
             msgspec.json.decode(body)
         except msgspec.DecodeError as error:
@@ -284,7 +284,7 @@
     async def resume(
         self, server: fleet.Server, key: str, answer: answers.Answer
     ) -> TokenUsage:
-        """Raise StreamMissing: plain services keep no answers."""
+        """Raise StreamNotFound: plain services keep no answers."""
         raise exceptions.StreamNotFound(key)
 
     async def cancel(self, server: fleet.Server, key: str) -> WastedTokens | None:
@@ -306,10 +306,10 @@
 
 
 async def _read(response: aiohttp.ClientResponse, answer: answers.Answer) -> TokenUsage:
-    rest = b""
+    incomplete = b""
     async for data in response.content.iter_any():
-        blocks = (rest + data).split(b"\n\n")
-        rest = blocks.pop()
+        blocks = (incomplete + data).split(b"\n\n")
+        incomplete = blocks.pop()
         for block in blocks:
             head, _, payload = block.partition(b"\ndata: ")
             if head == b"event: done":
--- a/packages/daemon/cassiaquay_daemon/adapters/breaks.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/breaks.py
@@ -5,8 +5,8 @@
 from .. import exceptions
 
 
-def to_stream_cut(error: Exception) -> exceptions.StreamInterrupted:
-    """Return the StreamCut that corresponds to an error of the HTTP client."""
+def to_stream_interrupted(error: Exception) -> exceptions.StreamInterrupted:
+    """Return the StreamInterrupted for an error of the HTTP client."""
     if isinstance(error, TimeoutError):
         return exceptions.StreamInterrupted(repr(error))
     if isinstance(error, (aiohttp.ClientPayloadError, OSError)):
--- a/packages/daemon/cassiaquay_daemon/command.py
+++ b/packages/daemon/cassiaquay_daemon/command.py
@@ -28,12 +28,12 @@
     """
     path = pathlib.Path(settings)
     try:
-        found = texts.read_settings(path.read_text())
-        names.check_settings(found)
+        parsed_settings = texts.read_settings(path.read_text())
+        names.check_settings(parsed_settings)
     except (OSError, schema_exceptions.SchemaError) as error:
         print(f"cassiaquayd: {settings}: {error}", file=sys.stderr)
         raise SystemExit(BAD_SETTINGS) from error
-    logs.set_up(found)
+    logs.set_up(parsed_settings)
 
     # A full garbage collection stops all streams while it traverses every object.
     # Objects created by now live as long as the process, so they are excluded.
@@ -42,7 +42,9 @@
     gc.enable()
 
     async def run() -> None:
-        await daemon.Daemon(found, reloading.Reloading(path, found)).run()
+        await daemon.Daemon(
+            parsed_settings, reloading.Reloading(path, parsed_settings)
+        ).run()
 
     uvloop.run(run())
 
--- a/packages/daemon/cassiaquay_daemon/daemon.py
+++ b/packages/daemon/cassiaquay_daemon/daemon.py
@@ -103,10 +103,10 @@
         self._membership.digest = lambda: self._configuration.digest
         self._configuration.on_accept(self._membership.update)
         self._pauses.on_resume(self._membership.restart_silence_timers)
-        chosen = settings.platform
-        self._texts = platform.configuration_services.get(chosen.configuration_adapter)(
-            self._http, chosen.configuration
-        )
+        platform_settings = settings.platform
+        self._texts = platform.configuration_services.get(
+            platform_settings.configuration_adapter
+        )(self._http, platform_settings.configuration)
         self._servers = self._create_servers()
         self._quarantine = quarantine.Quarantine(settings)
         self._crashes = crash_reports.CrashReports(
@@ -186,9 +186,9 @@
         await self._shut_down([server for server, _ in bound], serving, tasks)
 
     def _background_work(self) -> list[collections.abc.Coroutine[None, None, None]]:
-        chosen = self._settings.platform
-        listing = platform.instance_lists.get(chosen.instances_adapter)
-        instances = listing(self._http, chosen.instances)
+        platform_settings = self._settings.platform
+        listing = platform.instance_lists.get(platform_settings.instances_adapter)
+        instances = listing(self._http, platform_settings.instances)
         texts = self._texts
         renewing = renewal.Renewal(
             self._settings,
@@ -264,20 +264,20 @@
         return listeners.server(application), bound
 
     def _create_servers(self) -> servers.Servers | None:
-        chosen = self._settings.platform
-        if not chosen.servers:
+        platform_settings = self._settings.platform
+        if not platform_settings.servers:
             return None
-        store = platform.server_stores.get(chosen.servers_adapter)
-        found = servers.Servers(
+        store = platform.server_stores.get(platform_settings.servers_adapter)
+        server_list = servers.Servers(
             self._settings,
             self._peers,
             self._membership,
             self._configuration,
-            store(self._http, chosen.servers),
+            store(self._http, platform_settings.servers),
             self._texts,
         )
-        self._membership.servers_state = lambda: found.state
-        return found
+        self._membership.servers_state = lambda: server_list.state
+        return server_list
 
     def _create_gateway(self) -> service.Gateway | None:
         if not self._settings.gateway.front or self._servers is None:
@@ -298,12 +298,12 @@
         return gateway
 
     def _better_address(self) -> str:
-        chosen = addresses.answer(
+        lookup = addresses.answer(
             self._settings, self._membership, self._settings.domain
         )
-        for one in chosen["addresses"]:
-            if one["instance"] != self._settings.instance:
-                return one["address"]
+        for entry in lookup["addresses"]:
+            if entry["instance"] != self._settings.instance:
+                return entry["address"]
         return ""
 
     def _is_excluded(self, server: str) -> bool:
--- a/packages/daemon/cassiaquay_daemon/early_bind.py
+++ b/packages/daemon/cassiaquay_daemon/early_bind.py
@@ -58,10 +58,10 @@
 def _addresses(text: str) -> list[str]:
     settings = tomllib.loads(text)
     gateway = settings.get("gateway", {})
-    found = [settings.get("peer_listen")]
+    addresses = [settings.get("peer_listen")]
     for key in GATEWAY_KEYS:
-        found.append(gateway.get(key))
-    return [address for address in found if address]
+        addresses.append(gateway.get(key))
+    return [address for address in addresses if address]
 
 
 def _bind(address: str) -> socket.socket:
--- a/packages/daemon/cassiaquay_daemon/engines/engine_orders.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_orders.py
@@ -27,7 +27,7 @@
     async def send(self, server: fleet.Server, order: orders.Order) -> str:
         """Send an order and return the engine's state.
 
-        Raise OutrankedOrder when the engine has already accepted a higher fence.
+        Raise SupersededOrder when the engine has already accepted a higher fence.
         """
 
 
--- a/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
+++ b/packages/daemon/cassiaquay_daemon/engines/engine_reports.py
@@ -157,14 +157,16 @@
             if not isinstance(policy, policies.CacheAwarePolicy):
                 return
             after = self._sequences.get(server.name, 0)
-            found = await reader.read_events(server, after)
+            cache_events = await reader.read_events(server, after)
         except exceptions.BackendError:
             # The keeper's own counts stay in use until the next report.
             return
-        if found.sequence < after:
+        if cache_events.sequence < after:
             # Sequence numbers went back: the engine restarted with an empty cache.
             policy.cache_lost(server.name)
-            found.events = []
-        for event in found.events:
+            cache_events.events = []
+        for event in cache_events.events:
             policy.cache_changed(server.name, event.kind == "stored", event.blocks)
-        self._sequences[server.name] = found.sequence if found.sequence >= after else 0
+        self._sequences[server.name] = (
+            cache_events.sequence if cache_events.sequence >= after else 0
+        )
--- a/packages/daemon/cassiaquay_daemon/engines/reconciler.py
+++ b/packages/daemon/cassiaquay_daemon/engines/reconciler.py
@@ -99,7 +99,7 @@
         self._keeper.draining &= own_names
 
     def _targets(self, snapshot: snapshots.Snapshot) -> list[_Target]:
-        found = []
+        targets = []
         for name, pool in snapshot.fleet.pools.items():
             protocol = self._protocols.get(pool.adapter)
             if protocol is None:
@@ -108,8 +108,8 @@
                 shard = f"{name}#{number}"
                 for server in snapshot.shard_servers(shard):
                     if server.model:
-                        found.append(_Target(server, shard, protocol))
-        return found
+                        targets.append(_Target(server, shard, protocol))
+        return targets
 
     def _is_mine(self, target: _Target) -> bool:
         keeper_name = self._membership.keeper_of(target.shard)
@@ -120,10 +120,14 @@
         snapshot: snapshots.Snapshot,
         model: str,
         targets: list[_Target],
-        own: list[_Target],
+        own_targets: list[_Target],
     ) -> None:
         actual_by_name = dict(
-            zip([p.server.name for p in own], await _read(own), strict=True)
+            zip(
+                [p.server.name for p in own_targets],
+                await _read(own_targets),
+                strict=True,
+            )
         )
         wanted = orders.desired(snapshot, targets[0].server)
         if any(_needs_load(wanted, actual) for actual in actual_by_name.values()):
@@ -131,8 +135,8 @@
             foreign_targets = [
                 target for target in targets if target.server.name not in actual_by_name
             ]
-            found = await _read(foreign_targets)
-            for target, actual in zip(foreign_targets, found, strict=True):
+            foreign_states = await _read(foreign_targets)
+            for target, actual in zip(foreign_targets, foreign_states, strict=True):
                 actual_by_name[target.server.name] = actual
         engines = []
         for target in targets:
@@ -150,7 +154,7 @@
         ):
             logs.detail("loads_wait", model=model, minimum=minimum)
         by_name = {engine.name: engine for engine in engines}
-        for target in own:
+        for target in own_targets:
             engine = by_name[target.server.name]
             await self._advance(snapshot, target, engine, engine.name in may_load)
 
--- a/packages/daemon/cassiaquay_daemon/fleet/configuration.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/configuration.py
@@ -132,8 +132,8 @@
         version = TextVersion(revision, digest_of(text))
         if not self._is_newer(version):
             return False
-        found = await asyncio.to_thread(_parse, self._reader, revision, text)
-        return self._is_newer(version) and self._apply_parsed(version, text, found)
+        parsed = await asyncio.to_thread(_parse, self._reader, revision, text)
+        return self._is_newer(version) and self._apply_parsed(version, text, parsed)
 
     def should_fetch(self, version: TextVersion) -> bool:
         """Return whether a text of this version is newer and not yet rejected."""
@@ -190,10 +190,10 @@
         None when the service has no newer text.
         """
         known = max([self._newest_version.revision, *self.rejected])
-        found = await source.watch(known, wait)
-        if found is None:
+        published = await source.watch(known, wait)
+        if published is None:
             return None
-        return await self.offer(found.revision, found.text)
+        return await self.offer(published.revision, published.text)
 
     def is_watcher(self, membership: members.Membership) -> bool:
         """Return whether this instance long-polls the service."""
@@ -221,16 +221,16 @@
         self,
         version: TextVersion,
         text: str,
-        found: snapshots.Snapshot | schema_exceptions.SchemaError,
+        parsed: snapshots.Snapshot | schema_exceptions.SchemaError,
     ) -> bool:
-        if isinstance(found, schema_exceptions.SchemaError):
-            self._reject(version, found)
+        if isinstance(parsed, schema_exceptions.SchemaError):
+            self._reject(version, parsed)
             return False
         self._previous_text = self._newest.text if self._newest else ""
-        self._newest = found
+        self._newest = parsed
         self._newest_version = version
         if not self._is_held:
-            self._put_in_force(found)
+            self._put_in_force(parsed)
         return True
 
     def _reject(
@@ -278,19 +278,21 @@
             return
         link.send(messages.ConfigurationText(newest.revision, newest.text))
 
-    def _handle_text(self, link: peers.Link, found: messages.ConfigurationText) -> None:
-        self._schedule_offer(found.revision, found.text)
+    def _handle_text(
+        self, link: peers.Link, message: messages.ConfigurationText
+    ) -> None:
+        self._schedule_offer(message.revision, message.text)
 
     def _handle_change(
-        self, link: peers.Link, found: messages.ConfigurationChange
+        self, link: peers.Link, message: messages.ConfigurationChange
     ) -> None:
-        if not self.should_fetch(TextVersion(found.revision, found.digest)):
+        if not self.should_fetch(TextVersion(message.revision, message.digest)):
             return
-        if self._newest is not None and found.base == self._newest_version.digest:
-            change = changes.Change(found.start, found.end, found.part)
+        if self._newest is not None and message.base == self._newest_version.digest:
+            change = changes.Change(message.start, message.end, message.part)
             text = changes.apply(self._newest.text, change)
-            if digest_of(text) == found.digest:
-                self._schedule_offer(found.revision, text)
+            if digest_of(text) == message.digest:
+                self._schedule_offer(message.revision, text)
                 return
         # The diff does not apply to the text held here: request the whole text.
         link.send(messages.ConfigurationQuery(0, 0))
--- a/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/crash_reports.py
@@ -76,9 +76,9 @@
             self._log(content, was_held)
             self._flood([content], "")
 
-    def _handle_reports(self, link: peers.Link, found: messages.CrashReports) -> None:
+    def _handle_reports(self, link: peers.Link, message: messages.CrashReports) -> None:
         changed = []
-        for report in found.reports:
+        for report in message.reports:
             received = quarantine.Report(
                 report.content,
                 frozenset(report.servers),
@@ -114,7 +114,7 @@
             link.send(_message(reports))
 
     def _flood(self, contents: list[str], sender: str) -> None:
-        message = _message([self._quarantine.report(one) for one in contents])
+        message = _message([self._quarantine.report(content) for content in contents])
         for instance, address in self._membership.neighbours().items():
             if instance == sender:
                 continue
@@ -126,9 +126,9 @@
 def _message(
     reports: collections.abc.Iterable[quarantine.Report],
 ) -> messages.CrashReports:
-    found = []
+    encoded = []
     for report in reports:
-        found.append(
+        encoded.append(
             messages.CrashReport(
                 report.content,
                 sorted(report.servers),
@@ -136,4 +136,4 @@
                 int(report.age * 1000.0),
             )
         )
-    return messages.CrashReports(found)
+    return messages.CrashReports(encoded)
--- a/packages/daemon/cassiaquay_daemon/fleet/facts.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/facts.py
@@ -141,13 +141,13 @@
 
     def changed_since(self, change: int) -> list[Record]:
         """Return the records changed after ``change``, in the order of change."""
-        found = []
+        changed = []
         for record in reversed(self._records.values()):
             if record.change <= change:
                 break
-            found.append(record)
-        found.reverse()
-        return found
+            changed.append(record)
+        changed.reverse()
+        return changed
 
     def _store(self, record: Record) -> None:
         self.changes += 1
--- a/packages/daemon/cassiaquay_daemon/fleet/failure_detector.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/failure_detector.py
@@ -59,7 +59,7 @@
         self._received_at: dict[str, float] = {}
         self._probes: dict[str, float] = {}
         self._links: dict[str, peers.Link] = {}
-        self._seen_changes = 0
+        self._taken_change_count = 0
 
     @property
     def _probe_seconds(self) -> float:
@@ -73,13 +73,13 @@
 
     def incoming_links(self) -> list[peers.Link]:
         """Return the links dialled by others on which heartbeats arrive."""
-        found = []
+        links = []
         for instance, link in self._links.items():
             if link.dialled or link.is_closing:
                 continue
             if self._silence(instance) < self._settings.suspect_after:
-                found.append(link)
-        return found
+                links.append(link)
+        return links
 
     def note_heartbeat(self, link: peers.Link) -> None:
         """Note a heartbeat."""
@@ -155,8 +155,8 @@
 
     def take_changes(self) -> bool:
         """Return whether facts have changed since the last call."""
-        changed = self._facts.changes != self._seen_changes
-        self._seen_changes = self._facts.changes
+        changed = self._facts.changes != self._taken_change_count
+        self._taken_change_count = self._facts.changes
         return changed
 
     def _silence(self, instance: str) -> float:
--- a/packages/daemon/cassiaquay_daemon/fleet/gossip.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/gossip.py
@@ -13,6 +13,7 @@
 # charged without encoding them.
 MEMBER_BYTES = 130
 SUSPICION_BYTES = 40
+# Unused budget accumulates for at most this time.
 BURST_SECONDS = 20.0
 
 
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -44,9 +44,9 @@
     links : Peers
         Connections to the other instances.
     mint : callable
-        Returns a fresh address token of this instance.
+        Returns a fresh address token of this instance; callers form request ids of it.
     measure : callable
-        Returns this instance's load and its configuration revision.
+        Returns this instance's load (its open requests) and configuration revision.
     """
 
     def __init__(
@@ -158,20 +158,20 @@
 
     def alive(self) -> list[messages.Member]:
         """Return the members that are not suspected, including this one."""
-        found = [self.own_fact]
+        alive = [self.own_fact]
         for name, record in self.facts.records.items():
             if record.suspected_at is None and name != self._settings.instance:
-                found.append(record.member)
-        return found
+                alive.append(record.member)
+        return alive
 
     def serving(self) -> list[messages.Member]:
         """Return the live members that have a configuration and are not leaving."""
         if self._serving is None:
-            found = []
+            serving = []
             for member in self.alive():
                 if member.revision and not self._is_member_leaving(member):
-                    found.append(member)
-            self._serving = found
+                    serving.append(member)
+            self._serving = serving
         return self._serving
 
     def find(self, instance: str) -> messages.Member | None:
@@ -258,9 +258,9 @@
             # The last list stays in use; heartbeats still carry membership changes.
             logs.detail("instance_list_unreadable", cause=str(error))
             return
-        found = {line.name: line for line in lines}
-        if found != self._listed:
-            self.listed = found
+        listed = {line.name: line for line in lines}
+        if listed != self._listed:
+            self.listed = listed
         self._report_changes()
 
     def announce_leaving(self) -> None:
@@ -281,11 +281,11 @@
 
     def facts_to_send(self) -> list[messages.Member]:
         """Return the facts on all unsuspected members, with current uptimes."""
-        found = []
+        current_facts = []
         for record in self.facts.records.values():
             if record.suspected_at is None:
-                found.append(facts.with_current_uptime(record))
-        return found
+                current_facts.append(facts.with_current_uptime(record))
+        return current_facts
 
     def restart_silence_timers(self) -> None:
         """Ignore the silence of other instances during this process's own pause."""
@@ -334,21 +334,21 @@
         return {name: addresses[name] for name in chosen}
 
     def _links_to_use(self) -> list[peers.Link]:
-        found = []
-        chosen = self.neighbours()
-        for instance, address in [*chosen.items(), *self._lost_to_redial()]:
+        links = []
+        neighbours = self.neighbours()
+        for instance, address in [*neighbours.items(), *self._lost_to_redial()]:
             link = self._links.link(instance, address)
             if link is not None:
-                found.append(link)
+                links.append(link)
         # Reply to heartbeats on links that others dialled: an instance that none chose
         # as neighbour would otherwise receive no heartbeats. Links dialled from here to
         # former neighbours are left out: each side would reply to the other's replies
         # indefinitely, and after a fleet start half of the instances would exchange
         # heartbeats with the other half.
         for link in self._detector.incoming_links():
-            if link.instance not in chosen:
-                found.append(link)
-        return found
+            if link.instance not in neighbours:
+                links.append(link)
+        return links
 
     def _lost_to_redial(self) -> list[tuple[str, str]]:
         # After a partition both sides have forgotten each other and neither would
@@ -427,7 +427,8 @@
         if self._detector.take_changes():
             self._invalidate_caches()
         if not self._has_unreported_changes:
-            # Dozens of heartbeats a second: too many to compare hundreds of members.
+            # Dozens of heartbeats arrive each second; comparing hundreds of members
+            # for each would cost too much.
             return
         self._has_unreported_changes = False
         current = {f"{m.instance}/{m.incarnation}" for m in self.serving()}
@@ -441,9 +442,9 @@
             call()
 
 
-def _has_same_state(one: messages.Member, other: messages.Member) -> bool:
+def _has_same_state(fact: messages.Member, other_fact: messages.Member) -> bool:
     # Heartbeats carry the revision: if it counted here, each configuration change
     # would produce a new fact on every instance.
-    if bool(one.revision) != bool(other.revision):
+    if bool(fact.revision) != bool(other_fact.revision):
         return False
-    return one == other._replace(uptime=one.uptime, revision=one.revision)
+    return fact == other_fact._replace(uptime=fact.uptime, revision=fact.revision)
--- a/packages/daemon/cassiaquay_daemon/fleet/server_list.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/server_list.py
@@ -117,7 +117,7 @@
 
     def pools(self) -> dict[str, list[fleet_schema.Server]]:
         """Return the servers that may get new requests, by service."""
-        found: dict[str, list[fleet_schema.Server]] = {}
+        pools: dict[str, list[fleet_schema.Server]] = {}
         entries = {**self._listed, **self._retained}
         for name, entry in sorted(entries.items()):
             if entry.leaving:
@@ -130,5 +130,5 @@
                 started_ms=entry.started_ms,
                 cold_ms=entry.cold_ms,
             )
-            found.setdefault(entry.service, []).append(server)
-        return found
+            pools.setdefault(entry.service, []).append(server)
+        return pools
--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -132,7 +132,7 @@
         """Read the list now; return whether the platform answered."""
         began = clock.now()
         try:
-            found = await self._store.read()
+            registered = await self._store.read()
             await self._configured.read_once(self._texts)
         except exceptions.PlatformError as error:
             if not self._is_failing:
@@ -143,11 +143,11 @@
         if self._is_failing:
             logs.event("servers_readable", age_ms=self.age_ms)
         self._is_failing = False
-        is_changed = self._apply(found.revision, found.entries, began)
+        is_changed = self._apply(registered.revision, registered.entries, began)
         if self._apply_evacuated(self._texts.evacuated) or is_changed:
             self._publish(PLATFORM)
             self._send_to_neighbours()
-        self._confirm(found.revision, began)
+        self._confirm(registered.revision, began)
         return True
 
     def _retry_delay(self) -> float:
@@ -192,19 +192,19 @@
         self._read_at = max(self._read_at, read_at)
         return self._merge(entries, revision, read_at)
 
-    def _apply_evacuated(self, found: platform.Evacuated) -> bool:
+    def _apply_evacuated(self, evacuated: platform.Evacuated) -> bool:
         """Apply the evacuated domains; return whether they have changed."""
-        if found.revision < self.evacuated.revision:
+        if evacuated.revision < self.evacuated.revision:
             return False
         before = self.evacuated.domains
-        self.evacuated = found
-        if found.domains == before:
+        self.evacuated = evacuated
+        if evacuated.domains == before:
             return False
         logs.event(
             "domains_evacuated",
-            domains=",".join(found.domains),
+            domains=",".join(evacuated.domains),
             before=",".join(before),
-            revision=found.revision,
+            revision=evacuated.revision,
         )
         self._digest = self._compute_digest()
         return True
@@ -317,12 +317,12 @@
         if self._revision > query.revision:
             link.send(self._message())
 
-    def _handle_list(self, link: peers.Link, found: messages.ServerList) -> None:
+    def _handle_list(self, link: peers.Link, message: messages.ServerList) -> None:
         is_changed = False
-        if found.revision > self._revision:
-            read_at = clock.now() - found.age_ms / 1000.0
-            is_changed = self._apply(found.revision, found.entries, read_at)
-        evacuated = platform.Evacuated(found.evacuated_revision, found.evacuated)
+        if message.revision > self._revision:
+            read_at = clock.now() - message.age_ms / 1000.0
+            is_changed = self._apply(message.revision, message.entries, read_at)
+        evacuated = platform.Evacuated(message.evacuated_revision, message.evacuated)
         if self._apply_evacuated(evacuated) or is_changed:
             self._publish(link.instance)
             self._send_to_neighbours()
--- a/packages/daemon/cassiaquay_daemon/gateway/calls.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/calls.py
@@ -20,7 +20,7 @@
         Method and request target as received; the target is the path with its query.
     headers : list of pairs
         Headers as received, names in lower case.
-    facts : Facts
+    parsed : ParsedHeaders
         Values decoded from the headers.
     body : bytes
         The complete body.
--- a/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
@@ -78,7 +78,7 @@
             The connection failed; no byte was written.
         Declined
             The server reports that it did not run the request.
-        StreamCut
+        StreamInterrupted
             The request was sent and may have run.
         """
         pairs = headers.towards_server(
@@ -105,7 +105,7 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise exceptions.Unreachable(repr(error)) from error
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            raise breaks.to_stream_cut(error) from error
+            raise breaks.to_stream_interrupted(error) from error
         try:
             return self._check_answer(call, response)
         except exceptions.BackendError:
@@ -134,7 +134,7 @@
 
 
 async def read_body(answer: Answer) -> bytes:
-    """Return the complete body of an answer; raise StreamCut when it is cut off."""
+    """Return the complete body; raise StreamInterrupted when it is cut off."""
     parts = []
     size = 0
     async for part in stream_body(answer):
@@ -146,9 +146,9 @@
 
 
 async def stream_body(answer: Answer) -> collections.abc.AsyncIterator[bytes]:
-    """Yield the body in parts as they arrive; raise StreamCut when it is cut off."""
+    """Yield the body as it arrives; raise StreamInterrupted when it is cut off."""
     try:
         async for part in answer.response.content.iter_any():
             yield part
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-        raise breaks.to_stream_cut(error) from error
+        raise breaks.to_stream_interrupted(error) from error
--- a/packages/daemon/cassiaquay_daemon/gateway/passing.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/passing.py
@@ -35,7 +35,7 @@
     reply: replies.Replies,
     send: replies.Send,
 ) -> None:
-    """Forward events as they arrive; raise StreamCut when the stream is cut off."""
+    """Forward events as they arrive; raise StreamInterrupted when they are cut off."""
     splitter = events.Splitter()
     if not state.started:
         state.started = True
--- a/packages/daemon/cassiaquay_daemon/interface/holds.py
+++ b/packages/daemon/cassiaquay_daemon/interface/holds.py
@@ -27,7 +27,7 @@
     ----------
     owner_relay : Relay
         Sends requests to owners.
-    last_heard : callable
+    last_known : callable
         Returns the last membership record of an instance, also of a silent one.
     """
 
@@ -37,7 +37,7 @@
         last_known: collections.abc.Callable[[str], messages.Member | None],
     ):
         self._relay = owner_relay
-        self._last_heard = last_known
+        self._last_known = last_known
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(
@@ -58,7 +58,7 @@
     ) -> None:
         target = f"/v1/requests/{request_id.text}?from={AFTER_LAST_EVENT}"
         while True:
-            owner = self._last_heard(request_id.instance)
+            owner = self._last_known(request_id.instance)
             if owner is not None and owner.incarnation != request_id.incarnation:
                 # The instance has restarted and lost the request's state.
                 return
--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -144,10 +144,10 @@
             except exceptions.OutcomeUnknown as refusal:
                 if request.url.path.endswith(QUERY_SUFFIXES):
                     # An unknown outcome is a valid result of a query, not its failure.
-                    told = entries.RequestStatus(
+                    request_status = entries.RequestStatus(
                         refusal.outcome, refusal.code, "unknown"
                     )
-                    return _outcome_response(told)
+                    return _outcome_response(request_status)
                 self._report_refusal(request, refusal)
                 return streams.RefusalResponse(refusal)
             except exceptions.Refusal as refusal:
@@ -279,8 +279,8 @@
     return int(text)
 
 
-def _outcome_response(told: entries.RequestStatus) -> responses.Response:
-    return _json(told._asdict())
+def _outcome_response(request_status: entries.RequestStatus) -> responses.Response:
+    return _json(request_status._asdict())
 
 
 def _json(value: object) -> responses.Response:
--- a/packages/daemon/cassiaquay_daemon/links/frames.py
+++ b/packages/daemon/cassiaquay_daemon/links/frames.py
@@ -32,18 +32,18 @@
         InvalidFrame
             When the bytes are not a message; the connection must then be closed.
         """
-        found = []
+        decoded = []
         try:
             self._unpacker.feed(data)
             for frame in self._unpacker:
-                found.append(_message(frame))
+                decoded.append(_message(frame))
         except exceptions.InvalidFrame:
             raise
         except Exception as error:
             # msgpack raises a dozen exception types for malformed bytes. Whatever a
             # peer sends, only its own connection may be closed.
             raise exceptions.InvalidFrame(str(error)) from error
-        return found
+        return decoded
 
 
 def _message(frame: object) -> messages.Message:
--- a/packages/daemon/cassiaquay_daemon/links/peers.py
+++ b/packages/daemon/cassiaquay_daemon/links/peers.py
@@ -91,8 +91,8 @@
                 return []
             self.received_bytes += len(data)
             self._ready = self._decoder.feed(data)
-        found, self._ready = self._ready, []
-        return found
+        received, self._ready = self._ready, []
+        return received
 
     async def receive_one(self) -> messages.Message:
         """Return the next message; raise PeerError when the link closes."""
@@ -293,10 +293,10 @@
 
     async def _read(self, link: Link) -> None:
         while True:
-            found = await link.receive()
-            if not found:
+            received = await link.receive()
+            if not received:
                 return
-            for message in found:
+            for message in received:
                 handler = self._handlers.get(type(message))
                 if handler is None:
                     raise exceptions.InvalidFrame(
@@ -306,7 +306,9 @@
 
     def _close(self, link: Link) -> None:
         link.close()
-        for instance in [n for n, one in self._dialled.items() if one is link]:
+        for instance in [
+            n for n, dialled_link in self._dialled.items() if dialled_link is link
+        ]:
             del self._dialled[instance]
         self.closed_sent_bytes += link.sent_bytes
         self.closed_received_bytes += link.received_bytes
--- a/packages/daemon/cassiaquay_daemon/operators/admin.py
+++ b/packages/daemon/cassiaquay_daemon/operators/admin.py
@@ -115,7 +115,7 @@
     ) -> responses.Response:
         viewer.require_operator()
         parts = self._parts
-        found = {
+        body = {
             "instance": self._settings.instance,
             "incarnation": self._incarnation,
             "domain": self._settings.domain,
@@ -132,7 +132,7 @@
                 for name, shard in parts.kept.shards.items()
             },
         }
-        return _json(found)
+        return _json(body)
 
     async def _instances(
         self, request: requests.Request, viewer: viewers.Viewer
@@ -175,9 +175,9 @@
     async def _burn(
         self, request: requests.Request, viewer: viewers.Viewer
     ) -> responses.Response:
-        found = self._reports.burn.report(clock.now())
+        burn_report = self._reports.burn.report(clock.now())
         if viewer.team:
-            found = _restrict_to_team(found, viewer.team)
+            burn_report = _restrict_to_team(burn_report, viewer.team)
         snapshot = self._parts.configured.current
         objectives = []
         if snapshot is not None:
@@ -197,7 +197,7 @@
             "since": self._reports.since,
             "revision": self._parts.configured.revision,
             "objectives": objectives,
-            "report": found,
+            "report": burn_report,
         }
         return _json(body)
 
@@ -266,11 +266,11 @@
 
 def _restrict_to_team(report: burn.Report, team: str) -> burn.Report:
     for window in report["windows"]:
-        kept = []
+        team_counts = []
         for count in window["counts"]:
             if count["axis"] == "team" and count["name"] == team:
-                kept.append(count)
-        window["counts"] = kept
+                team_counts.append(count)
+        window["counts"] = team_counts
     return burn.Report(windows=report["windows"], fast=[], slow=[], excluded=0)
 
 
--- a/packages/daemon/cassiaquay_daemon/operators/burn.py
+++ b/packages/daemon/cassiaquay_daemon/operators/burn.py
@@ -146,25 +146,25 @@
         The bucket in which this span begins is included entirely.
         """
         first = int((now - seconds) / self.bucket_seconds)
-        found: dict[Cell, list[int]] = {}
+        sums: dict[Cell, list[int]] = {}
         for number, counts in self._buckets:
             if number < first:
                 continue
             for cell, (total, good) in counts.items():
-                count = found.setdefault(cell, [0, 0])
+                count = sums.setdefault(cell, [0, 0])
                 count[0] += total
                 count[1] += good
-        return found
+        return sums
 
     def points(self, now: float) -> list[bodies.Point]:
         """Return the counts of each bucket by service and tier, oldest first."""
-        found = []
+        points = []
         for number, counts in self._buckets:
             age = now - number * self.bucket_seconds
             for cell, (total, good) in counts.items():
                 if cell.axis != "all":
                     continue
-                found.append(
+                points.append(
                     bodies.Point(
                         age_seconds=age,
                         service=cell.service,
@@ -173,7 +173,7 @@
                         good=good,
                     )
                 )
-        return found
+        return points
 
 
 class Burn:
--- a/packages/daemon/cassiaquay_daemon/operators/explain.py
+++ b/packages/daemon/cassiaquay_daemon/operators/explain.py
@@ -255,11 +255,11 @@
         ("team", team, snapshot.fleet.teams[team]),
         ("service", service, snapshot.fleet.services[service]),
     )
-    for kind, name, limited in limited_items:
-        if limited.requests_per_second is not None:
-            reasons.append(f"{kind} {name}: {limited.requests_per_second:g} requests/s")
-        if limited.concurrent is not None:
-            reasons.append(f"{kind} {name}: {limited.concurrent} running at a time")
+    for kind, name, limits in limited_items:
+        if limits.requests_per_second is not None:
+            reasons.append(f"{kind} {name}: {limits.requests_per_second:g} requests/s")
+        if limits.concurrent is not None:
+            reasons.append(f"{kind} {name}: {limits.concurrent} running at a time")
     return reasons or ["no limit of the team or service applies"]
 
 
--- a/packages/daemon/cassiaquay_daemon/operators/views.py
+++ b/packages/daemon/cassiaquay_daemon/operators/views.py
@@ -46,9 +46,9 @@
 def instances(membership: members.Membership) -> list[bodies.Instance]:
     """Return the members, and listed instances without a heartbeat."""
     serving = {member.instance for member in membership.serving()}
-    found = {}
+    by_name = {}
     for member in membership.alive():
-        found[member.instance] = bodies.Instance(
+        by_name[member.instance] = bodies.Instance(
             instance=member.instance,
             incarnation=member.incarnation,
             domain=member.domain,
@@ -60,9 +60,9 @@
             born=member.born,
         )
     for line in membership.listed.values():
-        if line.kind != "entry" or line.name in found:
+        if line.kind != "entry" or line.name in by_name:
             continue
-        found[line.name] = bodies.Instance(
+        by_name[line.name] = bodies.Instance(
             instance=line.name,
             incarnation="",
             domain=line.domain,
@@ -73,7 +73,7 @@
             load=0.0,
             born=0.0,
         )
-    return [found[name] for name in sorted(found)]
+    return [by_name[name] for name in sorted(by_name)]
 
 
 def shard_at_keeper(
@@ -104,13 +104,13 @@
     parts: reports.Parts, settings: settings_schema.Settings
 ) -> list[ServerView]:
     """Return the backend servers of the shards kept here."""
-    found = []
-    for kept in keepers(parts):
-        shard = shard_at_keeper(parts, settings, kept["shard"])
-        if shard is None or kept["keeper"] != settings.instance:
+    server_views = []
+    for keeper_view in keepers(parts):
+        shard = shard_at_keeper(parts, settings, keeper_view["shard"])
+        if shard is None or keeper_view["keeper"] != settings.instance:
             continue
         for server in shard.servers.values():
-            found.append(
+            server_views.append(
                 ServerView(
                     server=server.name,
                     address=server.address,
@@ -124,7 +124,7 @@
                     tokens=shard.tokens_on(server.name),
                 )
             )
-    return found
+    return server_views
 
 
 def _server_state(
@@ -186,18 +186,18 @@
     snapshot = parts.configured.current
     if snapshot is None:
         return []
-    found = []
+    keeper_views = []
     for pool in snapshot.fleet.pools:
         for number in range(snapshot.shard_count(pool)):
             shard = f"{pool}#{number}"
-            found.append(
+            keeper_views.append(
                 KeeperView(
                     shard=shard,
                     keeper=parts.membership.keeper_of(shard),
                     servers=[item.name for item in snapshot.shard_servers(shard)],
                 )
             )
-    return found
+    return keeper_views
 
 
 def configuration(parts: reports.Parts, with_text: bool) -> ConfigurationView:
@@ -225,10 +225,10 @@
 
 def _kept_shards(parts: reports.Parts) -> list[shards.Shard]:
     """Return shards kept here, and former ones with requests still in them."""
-    found = []
+    kept_shards = []
     for shard in parts.kept.shards.values():
         keeper = parts.membership.keeper_of(shard.name)
         is_kept = keeper == parts.membership.own_fact.instance
         if is_kept or shard.queue or shard.running:
-            found.append(shard)
-    return found
+            kept_shards.append(shard)
+    return kept_shards
--- a/packages/daemon/cassiaquay_daemon/platform/__init__.py
+++ b/packages/daemon/cassiaquay_daemon/platform/__init__.py
@@ -159,10 +159,10 @@
         if status != 200:
             raise exceptions.PlatformError(f"configuration service: status {status}")
         try:
-            found = msgspec.json.decode(body, type=_PublishedBody)
+            decoded = msgspec.json.decode(body, type=_PublishedBody)
         except msgspec.DecodeError as error:
             raise exceptions.PlatformError(str(error)) from error
-        return Published(found["revision"], found["text"])
+        return Published(decoded["revision"], decoded["text"])
 
 
 @instance_lists.register("instances-http")
@@ -179,11 +179,11 @@
         if status != 200:
             raise exceptions.PlatformError(f"instance list: status {status}")
         try:
-            found = msgspec.json.decode(body, type=_ListBody)
+            decoded = msgspec.json.decode(body, type=_ListBody)
         except msgspec.DecodeError as error:
             raise exceptions.PlatformError(str(error)) from error
         lines = []
-        for line in found["instances"]:
+        for line in decoded["instances"]:
             lines.append(
                 ListedInstance(
                     line["name"],
--- a/packages/daemon/cassiaquay_daemon/reloading.py
+++ b/packages/daemon/cassiaquay_daemon/reloading.py
@@ -71,19 +71,19 @@
             return
         self._text = text
         try:
-            found = texts.read_settings(text)
-            names.check_settings(found)
+            settings = texts.read_settings(text)
+            names.check_settings(settings)
         except schema_exceptions.SchemaError as error:
             # A half-written file must not stop a serving process.
             logs.trouble("settings_rejected", cause=str(error))
             return
-        if found == self._settings:
+        if settings == self._settings:
             return
         fixed = []
         for name in RESTART_ONLY:
-            if getattr(found, name) != getattr(self._settings, name):
+            if getattr(settings, name) != getattr(self._settings, name):
                 fixed.append(name)
         logs.event("settings_changed", need_restart=",".join(fixed) or None)
-        self._settings = found
+        self._settings = settings
         for adopt in self._adopters:
-            adopt(found)
+            adopt(settings)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -243,7 +243,7 @@
 
             def same() -> bool:
                 current = [one.configuration.current for one in instances]
-                return all(found and found.text == wanted for found in current)
+                return all(snapshot and snapshot.text == wanted for snapshot in current)
 
             await light.until(same, 10)
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -68,10 +68,10 @@
     if isinstance(content, tuple):
         data = msgpack.packb([content[0], *content[1]])
     try:
-        found = frames.Decoder().feed(data)
+        decoded = frames.Decoder().feed(data)
     except exceptions.InvalidFrame:
         return
-    for message in found:
+    for message in decoded:
         assert type(message) in messages.CODES
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -153,8 +153,8 @@
     """An isolated instance does not list a member that it never had contact with.
 
     It learns of that member through a third instance and is cut off from the third at
-    once. No one else can report the failure, so it must count heartbeats that never
-    arrived as missing.
+    once. No other instance can report the failure, so it must count heartbeats that
+    never arrived as missing.
     """
 
     async def run() -> None:
@@ -178,8 +178,8 @@
             new = await fleet.add("cq-2")
             await light.until(
                 lambda: (
-                    (seen := one.membership.find("cq-2")) is not None
-                    and seen.incarnation == new.incarnation != old
+                    (member := one.membership.find("cq-2")) is not None
+                    and member.incarnation == new.incarnation != old
                 ),
                 10,
             )
@@ -386,11 +386,15 @@
             one, two = await fleet.add_many(2)
             await fleet.wait_for_members()
             answer = addresses.answer(one.settings, one.membership, "east")
-            made = {a["instance"]: a["token"] for a in answer["addresses"]}
-            found = tokens.parse(two.settings.keys, f"{made['cq-2']}~x")
-            assert found.incarnation == two.incarnation
+            tokens_by_instance = {
+                a["instance"]: a["token"] for a in answer["addresses"]
+            }
+            request_id = tokens.parse(
+                two.settings.keys, f"{tokens_by_instance['cq-2']}~x"
+            )
+            assert request_id.incarnation == two.incarnation
             latest = two.membership.uptime("cq-2") + two.settings.owner.token_seconds
-            assert latest - 5.0 < found.expiry <= latest
+            assert latest - 5.0 < request_id.expiry <= latest
 
     asyncio.run(run())
 
--- a/tests/test_server_lists.py
+++ b/tests/test_server_lists.py
@@ -133,7 +133,7 @@
 
 
 def test_a_retained_server_is_dropped_on_confirmation_by_heartbeats() -> None:
-    """Guards against retaining a server forever on instances that do not read."""
+    """Guards against never dropping a server on instances that do not read."""
     with fakes.Time().used() as time:
         fleet = _fleet("i-1", "i-2")
         _outage(time, fleet, 5.0)
@@ -270,7 +270,7 @@
         before = {name: fleet.in_use(name) for name in NAMES}
         for kind, name in steps:
             _step(kind, name, fleet, time, served)
-            for one in NAMES:
-                come = fleet.in_use(one) - before[one]
-                assert come <= served[fleet.lists[one].revision]
-                before[one] = fleet.in_use(one)
+            for instance in NAMES:
+                come = fleet.in_use(instance) - before[instance]
+                assert come <= served[fleet.lists[instance].revision]
+                before[instance] = fleet.in_use(instance)
