--- a/packages/daemon/cassiaquay_daemon/fleet/servers.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/servers.py
@@ -19,17 +19,17 @@
 
 # Each rank in the order of readers adds this to the age at which an instance reads:
 # time for the reader before it to read and for a heartbeat to arrive.
-RANK_DELAY_S = 0.35
+RANK_DELAY_SECONDS = 0.35
 # Instances of this rank and beyond read at the same age; together they are still few.
 LAST_RANK = 2
 # Delay after a failed read, for readers before the last rank and for the others. The
 # latter wait longer: during an outage of the platform every list is too old, and
 # hundreds of instances would retry all the time.
-RETRY_DELAY_S = 0.15
-LAST_RANK_RETRY_DELAY_S = 1.0
+RETRY_DELAY_SECONDS = 0.15
+LAST_RANK_RETRY_DELAY_SECONDS = 1.0
 RETRY_JITTER = 0.4
-MIN_SLEEP_S = 0.1
-MAX_AGE_S = 3600.0
+MIN_SLEEP_SECONDS = 0.1
+MAX_AGE_SECONDS = 3600.0
 # A log line names at most this many servers: after a start all of them are new.
 MAX_LOGGED_NAMES = 8
 PLATFORM = "platform"
@@ -102,7 +102,7 @@
 
     @property
     def age_ms(self) -> int:
-        """The age in milliseconds, at most ``MAX_AGE_S``."""
+        """The age in milliseconds, at most ``MAX_AGE_SECONDS``."""
         return _milliseconds(self.age)
 
     @property
@@ -123,7 +123,7 @@
         while True:
             wait_s = self._next_read_at() - clock.now()
             if wait_s > 0.0:
-                await asyncio.sleep(max(wait_s, MIN_SLEEP_S))
+                await asyncio.sleep(max(wait_s, MIN_SLEEP_SECONDS))
                 continue
             if not await self.read_once():
                 await asyncio.sleep(self._retry_delay())
@@ -132,7 +132,7 @@
         """Read the list now; return whether the platform answered."""
         began = clock.now()
         try:
-            found = await self._store.read()
+            registered = await self._store.read()
             await self._configured.read_once(self._texts)
         except exceptions.PlatformError as error:
             if not self._is_failing:
@@ -143,17 +143,17 @@
         if self._is_failing:
             logs.event("servers_readable", age_ms=self.age_ms)
         self._is_failing = False
-        is_changed = self._apply(found.revision, found.entries, began)
+        is_changed = self._apply(registered.revision, registered.entries, began)
         if self._apply_evacuated(self._texts.evacuated) or is_changed:
             self._publish(PLATFORM)
             self._send_to_neighbours()
-        self._confirm(found.revision, began)
+        self._confirm(registered.revision, began)
         return True
 
     def _retry_delay(self) -> float:
         if self._rank < LAST_RANK:
-            return RETRY_DELAY_S
-        return LAST_RANK_RETRY_DELAY_S * (1.0 + RETRY_JITTER * random.random())
+            return RETRY_DELAY_SECONDS
+        return LAST_RANK_RETRY_DELAY_SECONDS * (1.0 + RETRY_JITTER * random.random())
 
     def _next_read_at(self) -> float:
         """Return when to read the list next, in seconds on the local clock."""
@@ -162,7 +162,7 @@
             return due_at
         # A retained server that has left gets requests until a list that was read at
         # this time lacks it.
-        retained_until = self._outages.retained_until + self._rank * RANK_DELAY_S
+        retained_until = self._outages.retained_until + self._rank * RANK_DELAY_SECONDS
         return min(due_at, retained_until)
 
     def _max_age(self) -> float:
@@ -170,7 +170,7 @@
         if serving is not self._ranked:
             self._ranked = serving
             self._rank = self._rank_among(serving)
-        return self._settings.platform.servers_seconds + self._rank * RANK_DELAY_S
+        return self._settings.platform.servers_seconds + self._rank * RANK_DELAY_SECONDS
 
     def _rank_among(self, serving: list[messages.Member]) -> int:
         names = [member.instance for member in serving]
@@ -192,19 +192,19 @@
         self._read_at = max(self._read_at, read_at)
         return self._merge(entries, revision, read_at)
 
-    def _apply_evacuated(self, found: platform.Evacuated) -> bool:
+    def _apply_evacuated(self, evacuated: platform.Evacuated) -> bool:
         """Apply the evacuated domains; return whether they have changed."""
-        if found.revision < self.evacuated.revision:
+        if evacuated.revision < self.evacuated.revision:
             return False
         before = self.evacuated.domains
-        self.evacuated = found
-        if found.domains == before:
+        self.evacuated = evacuated
+        if evacuated.domains == before:
             return False
         logs.event(
             "domains_evacuated",
-            domains=",".join(found.domains),
+            domains=",".join(evacuated.domains),
             before=",".join(before),
-            revision=found.revision,
+            revision=evacuated.revision,
         )
         self._digest = self._compute_digest()
         return True
@@ -317,16 +317,16 @@
         if self._revision > query.revision:
             link.send(self._message())
 
-    def _handle_list(self, link: peers.Link, found: messages.ServerList) -> None:
+    def _handle_list(self, link: peers.Link, message: messages.ServerList) -> None:
         is_changed = False
-        if found.revision > self._revision:
-            read_at = clock.now() - found.age_ms / 1000.0
-            is_changed = self._apply(found.revision, found.entries, read_at)
-        evacuated = platform.Evacuated(found.evacuated_revision, found.evacuated)
+        if message.revision > self._revision:
+            read_at = clock.now() - message.age_ms / 1000.0
+            is_changed = self._apply(message.revision, message.entries, read_at)
+        evacuated = platform.Evacuated(message.evacuated_revision, message.evacuated)
         if self._apply_evacuated(evacuated) or is_changed:
             self._publish(link.instance)
             self._send_to_neighbours()
 
 
 def _milliseconds(seconds: float) -> int:
-    return int(min(seconds, MAX_AGE_S) * 1000)
+    return int(min(seconds, MAX_AGE_SECONDS) * 1000)
--- a/packages/daemon/cassiaquay_daemon/reloading.py
+++ b/packages/daemon/cassiaquay_daemon/reloading.py
@@ -15,7 +15,7 @@
 from . import logs, names
 
 # Polling interval of the settings file, for changes without a signal.
-POLL_INTERVAL_S = 2.0
+POLL_INTERVAL_SECONDS = 2.0
 # Settings whose changes take effect only after a restart.
 RESTART_ONLY = ("instance", "domain", "host", "peer_listen", "admin_port", "platform")
 
@@ -54,7 +54,7 @@
         while True:
             self.reload_if_changed()
             try:
-                async with asyncio.timeout(POLL_INTERVAL_S):
+                async with asyncio.timeout(POLL_INTERVAL_SECONDS):
                     await self._check_requested.wait()
             except TimeoutError:
                 continue
@@ -71,19 +71,19 @@
             return
         self._text = text
         try:
-            found = texts.read_settings(text)
-            names.check_settings(found)
+            settings = texts.read_settings(text)
+            names.check_settings(settings)
         except schema_exceptions.SchemaError as error:
             # A half-written file must not stop a serving process.
             logs.trouble("settings_rejected", cause=str(error))
             return
-        if found == self._settings:
+        if settings == self._settings:
             return
         fixed = []
         for name in RESTART_ONLY:
-            if getattr(found, name) != getattr(self._settings, name):
+            if getattr(settings, name) != getattr(self._settings, name):
                 fixed.append(name)
         logs.event("settings_changed", need_restart=",".join(fixed) or None)
-        self._settings = found
+        self._settings = settings
         for adopt in self._adopters:
-            adopt(found)
+            adopt(settings)
--- a/packages/dev/cassiaquay_dev/trials/history.py
+++ b/packages/dev/cassiaquay_dev/trials/history.py
@@ -223,7 +223,7 @@
 async def collect(running_cluster: cluster.Cluster, history: History) -> None:
     """Add the log lines of all daemons and back ends of a cluster."""
     # Daemons write log lines in batches; the last ones may not be written yet.
-    await asyncio.sleep(AWAITED_LOG_BATCHES * log_writer.WRITE_INTERVAL_S)
+    await asyncio.sleep(AWAITED_LOG_BATCHES * log_writer.WRITE_INTERVAL_SECONDS)
     collect_daemons(running_cluster, history)
     await collect_back_ends(running_cluster, history)
 
