--- a/packages/dev/cassiaquay_dev/sizing/measure_members.py
+++ b/packages/dev/cassiaquay_dev/sizing/measure_members.py
@@ -44,12 +44,12 @@
 
 
 def _membership() -> members.Membership:
-    one = light.Light(
+    membership = light.Light(
         light.settings_of("cq-0"), light.Published(), light.Listing()
     ).membership
     for number in range(1, MEMBER_COUNT):
-        one.learn(member(number))
-    return one
+        membership.learn(member(number))
+    return membership
 
 
 def member_bytes() -> float:
@@ -65,11 +65,11 @@
 
 def address_seconds() -> float:
     """Return the processor time of an address response per known member."""
-    one = _membership()
+    membership = _membership()
     settings = light.settings_of("cq-0")
     start = time.process_time()
     for _ in range(RESPONSE_COUNT):
-        addresses.answer(settings, one, "domain-1")
+        addresses.answer(settings, membership, "domain-1")
     return (time.process_time() - start) / RESPONSE_COUNT / MEMBER_COUNT
 
 
