--- a/packages/cli/cassiaquay_cli/trace.py
+++ b/packages/cli/cassiaquay_cli/trace.py
@@ -52,13 +52,13 @@
 
 
 @causes.register("limit_reached")
-def _limit_reached(request_lines: Lines) -> str:
+def _explain_limit_reached(request_lines: Lines) -> str:
     wait = request_lines[-1].fields.get("retry_after_ms", "?")
     return f"its team was over its limit; nothing was sent; retry after {wait} ms"
 
 
 @causes.register("shed_overload")
-def _shed(request_lines: Lines) -> str:
+def _explain_shed(request_lines: Lines) -> str:
     line = _last_line(request_lines, "shed")
     if line is None:
         return "no slot in time; the keeper's own line is not in these files"
@@ -71,7 +71,7 @@
 
 
 @causes.register("answer_lost")
-def _answer_lost(request_lines: Lines) -> str:
+def _explain_answer_lost(request_lines: Lines) -> str:
     line = _last_line(request_lines, "answer_cut")
     if line is None:
         return "a server broke off; its line is not in these files"
@@ -83,29 +83,29 @@
 
 
 @causes.register("deadline_exceeded")
-def _deadline(request_lines: Lines) -> str:
+def _explain_deadline_exceeded(request_lines: Lines) -> str:
     sent = _last_line(request_lines, "dispatch")
     server = sent.fields.get("server") if sent is not None else "no server"
     return f"dispatched to {server}; no complete response before the deadline"
 
 
 @causes.register("deadline_infeasible")
-def _infeasible(request_lines: Lines) -> str:
+def _explain_deadline_infeasible(request_lines: Lines) -> str:
     return "its deadline passed before it was sent to any server"
 
 
 @causes.register("unauthorized")
-def _unauthorized(request_lines: Lines) -> str:
+def _explain_unauthorized(request_lines: Lines) -> str:
     return "its key belongs to no team in the configuration in force there"
 
 
 @causes.register("no_route")
-def _no_route(request_lines: Lines) -> str:
+def _explain_no_route(request_lines: Lines) -> str:
     return "no route of the configuration in force there has its host and path"
 
 
 @causes.register("caller_gone")
-def _caller_gone(request_lines: Lines) -> str:
+def _explain_caller_gone(request_lines: Lines) -> str:
     fields = request_lines[-1].fields
     sent = "a server had it" if fields.get("sent") == "true" else "no server had it"
     return f"its caller closed first, after {fields.get('ms')} ms; {sent}"
@@ -126,7 +126,7 @@
             continue
         if end.at - CIRCUMSTANCES_WINDOW_SECONDS <= line.at <= end.at:
             circumstances.append(line)
-    return Traced(_cause(request_lines), request_lines, circumstances)
+    return Traced(_explain_outcome(request_lines), request_lines, circumstances)
 
 
 def format_text(traced: Traced) -> str:
@@ -177,7 +177,7 @@
     return logged_id == request_id or logged_id.startswith(f"{request_id}.")
 
 
-def _cause(request_lines: Lines) -> str:
+def _explain_outcome(request_lines: Lines) -> str:
     end = request_lines[-1]
     code = end.event if end.event == "caller_gone" else end.fields.get("code", "")
     if code in causes.names():
--- a/packages/daemon/cassiaquay_daemon/engines/reconciler.py
+++ b/packages/daemon/cassiaquay_daemon/engines/reconciler.py
@@ -168,10 +168,10 @@
         is_load_ordered = False
         if actual is not None and _needs_load(wanted, actual):
             sent = self._sent.get(name)
-            remembered = sent is not None and sent.order.version == wanted.version
+            is_order_sent = sent is not None and sent.order.version == wanted.version
             # An engine with this fence has accepted an order of this configuration,
             # possibly from another keeper.
-            is_load_ordered = remembered or actual.fence >= orders.fence(snapshot)
+            is_load_ordered = is_order_sent or actual.fence >= orders.fence(snapshot)
         return orders.Engine(name, wanted, actual, is_load_ordered)
 
     async def _advance(
--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -93,8 +93,8 @@
         self._neighbours: dict[str, str] | None = None
         self._has_unreported_changes = True
         self._keepers: dict[str, str] = {}
-        links.on(messages.Heartbeat, self._on_beat)
-        links.on(messages.Suspicion, self._on_suspicion)
+        links.on(messages.Heartbeat, self._handle_heartbeat)
+        links.on(messages.Suspicion, self._handle_suspicion)
         links.on(messages.Probe, self._detector.answer_probe)
         links.on(messages.Heard, self._detector.note_answer)
         links.on_down(self._detector.note_closed_link)
@@ -373,11 +373,11 @@
         if link is not None:
             link.send(message)
 
-    def _on_beat(self, link: peers.Link, beat: messages.Heartbeat) -> None:
+    def _handle_heartbeat(self, link: peers.Link, beat: messages.Heartbeat) -> None:
         for member in beat.members:
             self.learn(member)
         for suspicion in beat.suspicions:
-            self._on_suspicion(link, suspicion)
+            self._handle_suspicion(link, suspicion)
         self._gossip.compare(link.instance, beat.table)
         self._detector.note_heartbeat(link)
         self.facts.note_revision(link.instance, beat.revision)
@@ -389,7 +389,9 @@
             call(link, beat)
         self._report_changes()
 
-    def _on_suspicion(self, link: peers.Link, suspicion: messages.Suspicion) -> None:
+    def _handle_suspicion(
+        self, link: peers.Link, suspicion: messages.Suspicion
+    ) -> None:
         if suspicion.instance != self._settings.instance:
             if self.facts.suspect(suspicion):
                 self._invalidate_caches()
--- a/packages/daemon/cassiaquay_daemon/interface/relay.py
+++ b/packages/daemon/cassiaquay_daemon/interface/relay.py
@@ -15,7 +15,7 @@
 HOP_HEADER = "X-Cassiaquay-Hop"
 CONNECT_TIMEOUT_SECONDS = 1.0
 POLL_SECONDS = 0.25
-PASSED_HEADERS = ("authorization", "content-type")
+FORWARDED_HEADERS = ("authorization", "content-type")
 
 
 class OwnerUnreachable(exceptions.DaemonError):
@@ -47,7 +47,7 @@
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
         """Forward status, type and body; omit the last chunk if the relay is cut."""
-        forwarding = asyncio.create_task(self._pass(send))
+        forwarding = asyncio.create_task(self._forward_response(send))
         watching_caller = asyncio.create_task(streams.disconnected(receive))
         # A paused owner keeps its connections open and sends nothing, so the caller
         # would wait for the whole pause. When the relay is cut, the caller reconnects
@@ -62,7 +62,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
             self._response.close()
 
-    async def _pass(self, send: types.Send) -> None:
+    async def _forward_response(self, send: types.Send) -> None:
         response = self._response
         headers = [(b"content-type", response.content_type.encode())]
         retry_after = response.headers.get("Retry-After")
@@ -119,35 +119,39 @@
         body: bytes,
     ) -> RelayedResponse:
         """Return the owner's response; raise OwnerUnreachable when there is none."""
-        passed = self._forwarded_headers(headers)
+        forwarded_headers = self._forwarded_headers(headers)
 
         def is_gone() -> bool:
             member = self._find(owner.instance)
             return member is None or member.incarnation != owner.incarnation
 
-        asking = asyncio.create_task(
-            self._ask(method, f"http://{owner.http}{target}", passed, body)
+        request_task = asyncio.create_task(
+            self._send_request(
+                method, f"http://{owner.http}{target}", forwarded_headers, body
+            )
         )
         watching_owner = asyncio.create_task(_wait_until(is_gone))
         try:
             await asyncio.wait(
-                {asking, watching_owner}, return_when=asyncio.FIRST_COMPLETED
+                {request_task, watching_owner}, return_when=asyncio.FIRST_COMPLETED
             )
-            if not asking.done():
+            if not request_task.done():
                 raise OwnerUnreachable("the owner left the membership or restarted")
             self.passed += 1
-            return RelayedResponse(asking.result(), is_gone)
+            return RelayedResponse(request_task.result(), is_gone)
         finally:
-            asking.cancel()
+            request_task.cancel()
             watching_owner.cancel()
-            await asyncio.gather(asking, watching_owner, return_exceptions=True)
+            await asyncio.gather(request_task, watching_owner, return_exceptions=True)
 
     async def wait_for_end(
         self, owner: messages.Member, target: str, headers: dict[str, str]
     ) -> None:
         """Read an owner's answer to its end; raise OwnerUnreachable if it is cut."""
         url = f"http://{owner.http}{target}"
-        response = await self._ask("GET", url, self._forwarded_headers(headers), b"")
+        response = await self._send_request(
+            "GET", url, self._forwarded_headers(headers), b""
+        )
         try:
             await response.read()
         except (aiohttp.ClientError, OSError) as error:
@@ -156,13 +160,13 @@
             response.close()
 
     def _forwarded_headers(self, headers: dict[str, str]) -> dict[str, str]:
-        passed = {HOP_HEADER: self._settings.instance}
-        for name in PASSED_HEADERS:
+        forwarded = {HOP_HEADER: self._settings.instance}
+        for name in FORWARDED_HEADERS:
             if name in headers:
-                passed[name] = headers[name]
-        return passed
+                forwarded[name] = headers[name]
+        return forwarded
 
-    async def _ask(
+    async def _send_request(
         self, method: str, url: str, headers: dict[str, str], body: bytes
     ) -> aiohttp.ClientResponse:
         # The owner sends the status line of a queued request only when it starts, so
--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -20,7 +20,7 @@
 # Malformed ids are reported up to this length.
 MAX_REPORTED_ID_CHARACTERS = 160
 OnRefused = collections.abc.Callable[[exceptions.Refusal, str, str], None]
-Respond = collections.abc.Awaitable[types.ASGIApp]
+AsgiAppAwaitable = collections.abc.Awaitable[types.ASGIApp]
 
 
 class Call(typing.NamedTuple):
@@ -47,7 +47,7 @@
     body: bytes
 
 
-Act = collections.abc.Callable[[Call], Respond]
+CallHandler = collections.abc.Callable[[Call], AsgiAppAwaitable]
 
 
 class Web:
@@ -136,11 +136,11 @@
         return _json(answer)
 
     def _handler(
-        self, act: Act
-    ) -> collections.abc.Callable[[web_requests.Request], Respond]:
+        self, call_handler: CallHandler
+    ) -> collections.abc.Callable[[web_requests.Request], AsgiAppAwaitable]:
         async def handle(request: web_requests.Request) -> types.ASGIApp:
             try:
-                return await self._handle(request, act)
+                return await self._handle(request, call_handler)
             except exceptions.OutcomeUnknown as refusal:
                 if request.url.path.endswith(QUERY_SUFFIXES):
                     # An unknown outcome is a valid result of a query, not its failure.
@@ -168,7 +168,9 @@
         for listener in self._on_refused:
             listener(refusal, request_id, team)
 
-    async def _handle(self, request: web_requests.Request, act: Act) -> types.ASGIApp:
+    async def _handle(
+        self, request: web_requests.Request, call_handler: CallHandler
+    ) -> types.ASGIApp:
         snapshot = self._configured.current
         if snapshot is None:
             raise exceptions.NotReady(retry_after_ms=500)
@@ -177,7 +179,7 @@
         body = await bodies.read(request, self._settings.owner)
         call = Call(request, request_id, team, snapshot, body)
         if self._owner.owns(request_id):
-            return await act(call)
+            return await call_handler(call)
         return await self._relay_or_recover(call)
 
     async def _relay_or_recover(self, call: Call) -> types.ASGIApp:
--- a/packages/daemon/cassiaquay_daemon/listeners.py
+++ b/packages/daemon/cassiaquay_daemon/listeners.py
@@ -50,7 +50,7 @@
 def server(
     application: Application, idle_seconds: int = KEEP_ALIVE_SECONDS
 ) -> uvicorn.Server:
-    """Return a server for an ASGI application; ``serve`` is given its sockets.
+    """Return a server for an ASGI application; its sockets are passed to ``serve``.
 
     Parameters
     ----------
--- a/packages/daemon/cassiaquay_daemon/names.py
+++ b/packages/daemon/cassiaquay_daemon/names.py
@@ -6,17 +6,17 @@
 from .decisions import policies
 
 
-def check_settings(found: settings.Settings) -> None:
+def check_settings(parsed_settings: settings.Settings) -> None:
     """Raise NameFault when the settings contain a name that is not registered."""
-    check(policies.policies.names(), found.keeper.policy, "keeper.policy")
+    check(policies.policies.names(), parsed_settings.keeper.policy, "keeper.policy")
     check(
         platform.configuration_services.names(),
-        found.platform.configuration_adapter,
+        parsed_settings.platform.configuration_adapter,
         "platform.configuration_adapter",
     )
     check(
         platform.instance_lists.names(),
-        found.platform.instances_adapter,
+        parsed_settings.platform.instances_adapter,
         "platform.instances_adapter",
     )
 
--- a/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
+++ b/packages/daemon/cassiaquay_daemon/operators/keeper_view.py
@@ -24,13 +24,13 @@
     if waiting is not None:
         # The queued demand holds the prefix hashes, which the query does not contain.
         demand = waiting.demand
-    higher, same = _count_ahead(shard, demand)
-    weighed = _weighed_by_server(parts, shard, demand)
+    higher_count, same_count = _count_ahead(shard, demand)
+    estimates = _estimates_by_server(parts, shard, demand)
     verdicts = []
     snapshot = parts.configured.current
     for name, item in sorted(shard.servers.items()):
         is_evacuated = snapshot is not None and snapshot.is_evacuated(item)
-        verdicts.append(_verdict(shard, name, weighed.get(name), is_evacuated))
+        verdicts.append(_verdict(shard, name, estimates.get(name), is_evacuated))
     running = shard.running.get(demand.id)
     server = running.server if running is not None else _best_server(verdicts)
     state = "new"
@@ -43,14 +43,14 @@
         keeper=settings.instance,
         keeper_since_open=shard.is_open,
         state=state,
-        ahead_higher=higher,
-        ahead_same=same,
+        ahead_higher=higher_count,
+        ahead_same=same_count,
         server=server,
         servers=verdicts,
     )
 
 
-def _weighed_by_server(
+def _estimates_by_server(
     parts: reports.Parts, shard: shards.Shard, demand: messages.Demand
 ) -> dict[str, policies.ServerEstimate]:
     policy = parts.kept.policy(shard.name)
@@ -60,29 +60,29 @@
 
 
 def _count_ahead(shard: shards.Shard, demand: messages.Demand) -> tuple[int, int]:
-    higher = 0
-    same = 0
+    higher_count = 0
+    same_count = 0
     own = shard.queue.get(demand.id)
     for waiting in shard.queue.values():
         if waiting.demand.id == demand.id:
             continue
         if waiting.demand.rank < demand.rank:
-            higher += 1
+            higher_count += 1
         elif waiting.demand.rank == demand.rank:
             if own is None or waiting.arrived_at < own.arrived_at:
-                same += 1
-    return higher, same
+                same_count += 1
+    return higher_count, same_count
 
 
 def _verdict(
     shard: shards.Shard,
     name: str,
-    weighed: policies.ServerEstimate | None,
+    estimate: policies.ServerEstimate | None,
     is_evacuated: bool,
 ) -> bodies.ServerVerdict:
     server = shard.servers[name]
     count = shard.count_on(name)
-    limit = weighed.limit_tokens if weighed else server.max_tokens_in_flight or 0
+    limit = estimate.limit_tokens if estimate else server.max_tokens_in_flight or 0
     verdict = "fits"
     if is_evacuated:
         verdict = "evacuated: gets no new work"
@@ -92,7 +92,7 @@
         verdict = "all slots taken"
     elif not shard.cold_budgets.allows(name):
         verdict = "cold: gets more in a moment"
-    elif weighed is not None and not weighed.fits:
+    elif estimate is not None and not estimate.fits:
         verdict = "full: unread prompts or tokens in flight"
     return bodies.ServerVerdict(
         server=name,
@@ -101,8 +101,8 @@
         slots=server.slots,
         tokens=shard.tokens_on(name),
         limit_tokens=limit,
-        cached_tokens=weighed.cached_tokens if weighed else 0,
-        finish_ms=round(weighed.finish_seconds * 1000.0, 1) if weighed else 0.0,
+        cached_tokens=estimate.cached_tokens if estimate else 0,
+        finish_ms=round(estimate.finish_seconds * 1000.0, 1) if estimate else 0.0,
     )
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -413,11 +413,11 @@
             one = fleet.instances["cq-0"]
 
             def first(domain: str) -> collections.Counter[str]:
-                counted: collections.Counter[str] = collections.Counter()
+                first_counts: collections.Counter[str] = collections.Counter()
                 for _ in range(9000):
                     answer = addresses.answer(one.settings, one.membership, domain)
-                    counted[answer["addresses"][0]["instance"]] += 1
-                return counted
+                    first_counts[answer["addresses"][0]["instance"]] += 1
+                return first_counts
 
             everywhere = first("elsewhere")
             assert len(everywhere) == 9
--- a/tests/test_server_lists.py
+++ b/tests/test_server_lists.py
@@ -149,7 +149,7 @@
         assert fleet.in_use("cq-3") == {"i-1"}
 
 
-def _cut_off(time: fakes.Time, fleet: Fleet) -> None:
+def _isolate(time: fakes.Time, fleet: Fleet) -> None:
     """Isolate cq-3 from all instances and from the store for 5 s."""
     for _ in range(10):
         time.now += 0.5
@@ -166,7 +166,7 @@
     """Guards against retaining a server that left while this instance was cut off."""
     with fakes.Time().used() as time:
         fleet = _fleet("i-1", "i-2")
-        _cut_off(time, fleet)
+        _isolate(time, fleet)
         _remove(fleet, "i-2")
         fleet.read("cq-1")
         fleet.read("cq-3")
@@ -234,7 +234,7 @@
 )
 
 
-def _step(
+def _apply_step(
     kind: str, name: str, fleet: Fleet, time: fakes.Time, served: dict[int, set[str]]
 ) -> None:
     store = fleet.store
@@ -269,8 +269,8 @@
             served[number] = fleet.in_use("cq-1")
         before = {name: fleet.in_use(name) for name in NAMES}
         for kind, name in steps:
-            _step(kind, name, fleet, time, served)
+            _apply_step(kind, name, fleet, time, served)
             for instance in NAMES:
-                come = fleet.in_use(instance) - before[instance]
-                assert come <= served[fleet.lists[instance].revision]
+                added = fleet.in_use(instance) - before[instance]
+                assert added <= served[fleet.lists[instance].revision]
                 before[instance] = fleet.in_use(instance)
