--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -94,7 +94,7 @@
         self._has_unreported_changes = True
         self._keepers: dict[str, str] = {}
         links.on(messages.Heartbeat, self._handle_heartbeat)
-        links.on(messages.Suspicion, self._handle_suspicion)
+        links.on(messages.Suspicion, self._note_suspicion)
         links.on(messages.Probe, self._detector.answer_probe)
         links.on(messages.Heard, self._detector.note_answer)
         links.on_down(self._detector.note_closed_link)
@@ -377,7 +377,7 @@
         for member in beat.members:
             self.learn(member)
         for suspicion in beat.suspicions:
-            self._handle_suspicion(link, suspicion)
+            self._note_suspicion(link, suspicion)
         self._gossip.compare(link.instance, beat.table)
         self._detector.note_heartbeat(link)
         self.facts.note_revision(link.instance, beat.revision)
@@ -389,9 +389,7 @@
             call(link, beat)
         self._report_changes()
 
-    def _handle_suspicion(
-        self, link: peers.Link, suspicion: messages.Suspicion
-    ) -> None:
+    def _note_suspicion(self, link: peers.Link, suspicion: messages.Suspicion) -> None:
         if suspicion.instance != self._settings.instance:
             if self.facts.suspect(suspicion):
                 self._invalidate_caches()
@@ -429,8 +427,7 @@
         if self._detector.take_changes():
             self._invalidate_caches()
         if not self._has_unreported_changes:
-            # Dozens of heartbeats arrive each second; comparing hundreds of members
-            # for each would cost too much.
+            # Comparing hundreds of members dozens of times a second costs too much.
             return
         self._has_unreported_changes = False
         current = {f"{m.instance}/{m.incarnation}" for m in self.serving()}
