--- a/packages/daemon/cassiaquay_daemon/fleet/members.py
+++ b/packages/daemon/cassiaquay_daemon/fleet/members.py
@@ -93,8 +93,8 @@
         self._neighbours: dict[str, str] | None = None
         self._has_unreported_changes = True
         self._keepers: dict[str, str] = {}
-        links.on(messages.Heartbeat, self._on_beat)
-        links.on(messages.Suspicion, self._on_suspicion)
+        links.on(messages.Heartbeat, self._handle_heartbeat)
+        links.on(messages.Suspicion, self._note_suspicion)
         links.on(messages.Probe, self._detector.answer_probe)
         links.on(messages.Heard, self._detector.note_answer)
         links.on_down(self._detector.note_closed_link)
@@ -373,11 +373,11 @@
         if link is not None:
             link.send(message)
 
-    def _on_beat(self, link: peers.Link, beat: messages.Heartbeat) -> None:
+    def _handle_heartbeat(self, link: peers.Link, beat: messages.Heartbeat) -> None:
         for member in beat.members:
             self.learn(member)
         for suspicion in beat.suspicions:
-            self._on_suspicion(link, suspicion)
+            self._note_suspicion(link, suspicion)
         self._gossip.compare(link.instance, beat.table)
         self._detector.note_heartbeat(link)
         self.facts.note_revision(link.instance, beat.revision)
@@ -389,7 +389,7 @@
             call(link, beat)
         self._report_changes()
 
-    def _on_suspicion(self, link: peers.Link, suspicion: messages.Suspicion) -> None:
+    def _note_suspicion(self, link: peers.Link, suspicion: messages.Suspicion) -> None:
         if suspicion.instance != self._settings.instance:
             if self.facts.suspect(suspicion):
                 self._invalidate_caches()
@@ -427,8 +427,7 @@
         if self._detector.take_changes():
             self._invalidate_caches()
         if not self._has_unreported_changes:
-            # Dozens of heartbeats arrive each second; comparing hundreds of members
-            # for each would cost too much.
+            # Comparing hundreds of members dozens of times a second costs too much.
             return
         self._has_unreported_changes = False
         current = {f"{m.instance}/{m.incarnation}" for m in self.serving()}
