--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -172,7 +172,7 @@
     asyncio.run(run())
 
 
-def test_a_keeper_counts_what_it_may_have_spent_before(time) -> None:
+def test_a_restarted_keeper_counts_the_limit_as_spent(time) -> None:
     """All processes restart within one window while a team overloads the fleet.
 
     If a new process assumed an unused limit, the team could spend it a second time.
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -161,7 +161,7 @@
     run(work())
 
 
-def test_a_full_table_gives_up_the_lowest_waiting_tier_first():
+def test_a_full_table_sheds_the_lowest_waiting_tier_first():
     """An urgent request is served; background requests get "not run", table_full.
 
     The table holds two waiting requests when an urgent one arrives, then a background
@@ -244,7 +244,7 @@
     run(work())
 
 
-def test_a_booking_past_its_deadline_can_be_settled_later():
+def test_the_outcome_of_a_booking_past_its_deadline_can_be_queried_later():
     """The caller gets outcome_unknown at its deadline, and "completed" later.
 
     A booking cannot be stopped. The owner reads on its answer after the deadline, so
@@ -380,7 +380,7 @@
     run(work())
 
 
-def test_a_server_that_began_to_leave_after_the_permit_gets_nothing():
+def test_a_server_that_began_to_leave_after_the_permit_gets_no_request():
     """The request runs on another server; the leaving one gets no new work.
 
     The instance list shows the server as leaving while the connection is being opened.
@@ -413,7 +413,7 @@
     run(work())
 
 
-def test_a_leaving_owner_hands_waiting_requests_back_and_finishes_the_others():
+def test_a_leaving_owner_refuses_waiting_requests_and_finishes_running_ones():
     """Waiting requests get "not run" and another address; running ones complete."""
 
     async def work() -> None:
--- a/tests/test_owner_schedules.py
+++ b/tests/test_owner_schedules.py
@@ -275,7 +275,7 @@
 }
 
 
-def test_no_schedule_breaks_a_promise():
+def test_no_schedule_violates_a_guarantee_of_the_owner():
     stateful.run_state_machine_as_test(Schedule, settings=DERANDOMIZED)
 
 
