--- a/packages/daemon/cassiaquay_daemon/configured/snapshots.py
+++ b/packages/daemon/cassiaquay_daemon/configured/snapshots.py
@@ -81,11 +81,11 @@
             return []
         servers = sorted(self.fleet.pools[pool].servers, key=_server_name)
         numbers = _assign_shards(tuple(server.name for server in servers), count)
-        found = []
+        shard_servers = []
         for server, chosen in zip(servers, numbers, strict=True):
             if chosen == int(number):
-                found.append(server)
-        return found
+                shard_servers.append(server)
+        return shard_servers
 
     def shard_of(self, pool: str, key: str) -> str:
         """Return the shard of a key; shards get keys in proportion to their servers."""
@@ -109,17 +109,17 @@
     @property
     def evacuated_names(self) -> set[str]:
         """Names of the backend servers in evacuated failure domains."""
-        found = set()
+        names = set()
         for pool in self.fleet.pools.values():
             for server in pool.servers:
                 if self.is_evacuated(server):
-                    found.add(server.name)
-        return found
+                    names.add(server.name)
+        return names
 
     def open_server(self, pool: str, name: str) -> fleet_schema.Server | None:
         """Return a backend server by name if it may get new work."""
-        found = self.server(pool, name)
-        return None if found is None or self.is_evacuated(found) else found
+        server = self.server(pool, name)
+        return None if server is None or self.is_evacuated(server) else server
 
     def open_servers(self, pool: str) -> list[fleet_schema.Server]:
         """Return the backend servers of a pool that may get new work."""
@@ -161,13 +161,13 @@
 @readers.register("fleet")
 def read(revision: int, text: str) -> Snapshot:
     """Return the snapshot of a fleet text; raise SchemaError when it is invalid."""
-    found = texts.read_fleet(text)
-    _check_adapters(found)
+    parsed = texts.read_fleet(text)
+    _check_adapters(parsed)
     credentials = {}
-    for name, team in found.teams.items():
+    for name, team in parsed.teams.items():
         for digest in team.credentials:
             credentials[digest] = name
-    return Snapshot(revision, text, found, credentials)
+    return Snapshot(revision, text, parsed, credentials)
 
 
 @functools.lru_cache(maxsize=64)
@@ -183,15 +183,15 @@
         math.ceil(len(names) / count * SHARD_SIZE_FACTOR) if count > 1 else len(names)
     )
     taken: collections.Counter[str] = collections.Counter()
-    found = []
+    shard_numbers = []
     for name in names:
         for shard in rendezvous.rank(name, shards):
             if taken[shard] >= max_servers:
                 continue
             taken[shard] += 1
-            found.append(int(shard))
+            shard_numbers.append(int(shard))
             break
-    return found
+    return shard_numbers
 
 
 @functools.lru_cache(maxsize=64)
@@ -205,14 +205,14 @@
     return server.name
 
 
-def _check_adapters(found: fleet_schema.Fleet) -> None:
+def _check_adapters(parsed: fleet_schema.Fleet) -> None:
     # If accepted, such a text would fail each request of the pool at its dispatch.
-    known = backends.backends.names()
-    for name, pool in found.pools.items():
-        if pool.adapter in known:
+    adapter_names = backends.backends.names()
+    for name, pool in parsed.pools.items():
+        if pool.adapter in adapter_names:
             continue
         raise exceptions.NameFault(
             f"no adapter is registered as {pool.adapter!r}",
             f"pools.{name}.adapter",
-            f"one of: {', '.join(known)}",
+            f"one of: {', '.join(adapter_names)}",
         )
--- a/packages/daemon/cassiaquay_daemon/decisions/affinity.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/affinity.py
@@ -57,17 +57,17 @@
         """
         if not hashes:
             return CachedPrefix(0, 0)
-        known = self._memoized.get(request_id)
-        if known is not None and known[0] == self._version:
-            return known[1]
-        found = CachedPrefix(
+        memoized = self._memoized.get(request_id)
+        if memoized is not None and memoized[0] == self._version:
+            return memoized[1]
+        cached_prefix = CachedPrefix(
             self.cached_tokens(hashes, block_count),
             self.pending_tokens(hashes, block_count),
         )
-        self._memoized[request_id] = (self._version, found)
-        return found
+        self._memoized[request_id] = (self._version, cached_prefix)
+        return cached_prefix
 
-    def forget(self, request_id: str) -> None:
+    def drop_memoized(self, request_id: str) -> None:
         """Drop the memoized result of a request that has left the queue."""
         self._memoized.pop(request_id, None)
 
--- a/packages/daemon/cassiaquay_daemon/decisions/candidates.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/candidates.py
@@ -131,44 +131,44 @@
         for server in servers:
             load = self._shard.load(server.name)
             cold_budget = self._shard.cold_budgets.get(server.name)
-            found = Candidate(
+            candidate = Candidate(
                 server, load, self.times[server.name], median_share, cold_budget
             )
-            self.open.append(found)
+            self.open.append(candidate)
             if not self._shard.is_refusing(server.name):
-                self._reachable.append(found)
+                self._reachable.append(candidate)
         self._fastest_speeds = _fastest_speeds(self.open)
         self._min_event_seconds = min(
-            (found.times.event_seconds for found in self.open), default=0.0
+            (candidate.times.event_seconds for candidate in self.open), default=0.0
         )
 
     def with_free_slots(
         self, avoid: collections.abc.Set[str], now: float
     ) -> collections.abc.Iterator[Candidate]:
         """Yield the servers that may get a demand now, except those to avoid."""
-        for found in self._reachable:
-            if found.has_slot(now) and found.server.name not in avoid:
-                yield found
+        for candidate in self._reachable:
+            if candidate.has_slot(now) and candidate.server.name not in avoid:
+                yield candidate
 
     def free_slots(self) -> int:
         """Return the number of free slots on servers that may get work."""
         now = clock.now()
         count = 0
-        for found in self.open:
-            if found.has_slot(now):
-                count += found.free_slots
+        for candidate in self.open:
+            if candidate.has_slot(now):
+                count += candidate.free_slots
         return count
 
     def cold_slot_waits(self) -> list[float]:
         """Return the seconds until each free slot of a cold server may be used."""
-        found: list[float] = []
-        for item in self.open:
-            if item.cold_budget is None:
+        cold_waits: list[float] = []
+        for candidate in self.open:
+            if candidate.cold_budget is None:
                 continue
-            free = item.capacity - item.load.count
-            waits = item.cold_budget.waits(max(free, 0))
-            found += [seconds for seconds in waits if seconds > 0.0]
-        return found
+            free = candidate.capacity - candidate.load.count
+            waits = candidate.cold_budget.waits(max(free, 0))
+            cold_waits += [seconds for seconds in waits if seconds > 0.0]
+        return cold_waits
 
     def min_first_seconds(self, tokens: int) -> float:
         """Return the time to the first event of a prompt on the fastest server."""
@@ -184,13 +184,15 @@
 
     def _median_failure_share(self, servers: list[fleet.Server]) -> float:
         now = clock.now()
-        found = [self.times[server.name].failure_share(now) for server in servers]
-        return statistics.median(found) if found else 0.0
+        shares = [self.times[server.name].failure_share(now) for server in servers]
+        return statistics.median(shares) if shares else 0.0
 
 
-def _fastest_speeds(found: list[Candidate]) -> list[tuple[float, float]]:
+def _fastest_speeds(servers: list[Candidate]) -> list[tuple[float, float]]:
     """Return the speeds that no other server beats for all lengths of prompt."""
-    speeds = sorted((item.times.base_seconds, -item.times.rate) for item in found)
+    speeds = sorted(
+        (candidate.times.base_seconds, -candidate.times.rate) for candidate in servers
+    )
     best: list[tuple[float, float]] = []
     for base, slowness in speeds:
         rate = -slowness
--- a/packages/daemon/cassiaquay_daemon/decisions/contents.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/contents.py
@@ -12,8 +12,8 @@
     All attempts of one request have this digest in common: each attempt has its own
     request id and may arrive at any instance.
     """
-    found = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in texts:
-        found.update(text.encode() + b"\0")
-    found.update(body)
-    return found.hexdigest()
+        hasher.update(text.encode() + b"\0")
+    hasher.update(body)
+    return hasher.hexdigest()
--- a/packages/daemon/cassiaquay_daemon/decisions/forecasts.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/forecasts.py
@@ -48,13 +48,13 @@
     def refresh(self) -> None:
         """Recompute the forecast from all running requests."""
         now = clock.now()
-        found = [0.0] * self._servers.free_slots()
-        found += self._servers.cold_slot_waits()
+        free_in_seconds = [0.0] * self._servers.free_slots()
+        free_in_seconds += self._servers.cold_slot_waits()
         for running in self._shard.running.values():
             if running.server in self._servers.times:
-                found.append(self._remaining_seconds(running, now))
-        found.sort()
-        self._free_in_seconds = found
+                free_in_seconds.append(self._remaining_seconds(running, now))
+        free_in_seconds.sort()
+        self._free_in_seconds = free_in_seconds
 
     def take_slot(self, request_id: str) -> None:
         """Replace a free slot by the end of the request that was granted it."""
@@ -76,14 +76,14 @@
         return free_in[position] * max((ahead + 1) / len(free_in), 1.0)
 
     def _remaining_seconds(self, running: shards.Running, now: float) -> float:
-        known = self._servers.times[running.server]
+        times = self._servers.times[running.server]
         if running.demand is None:
-            return known.base_seconds
+            return times.base_seconds
         events = float(running.demand.output_tokens - running.produced)
         if running.produced:
             events = max(events, running.produced * OVERRUN_SHARE)
             elapsed = now - running.produced_at
-            return max(events * known.event_seconds - elapsed, 0.0)
-        return known.expect(float(running.demand.prompt_tokens)).first_seconds + (
-            max(events, 0.0) * known.event_seconds
+            return max(events * times.event_seconds - elapsed, 0.0)
+        return times.expect(float(running.demand.prompt_tokens)).first_seconds + (
+            max(events, 0.0) * times.event_seconds
         )
--- a/packages/daemon/cassiaquay_daemon/decisions/loads.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/loads.py
@@ -75,14 +75,14 @@
         if prefill is None:
             return None
         since = max(self._head_since, prefill.granted_at)
-        found = FinishedPrefill(
+        finished = FinishedPrefill(
             prefill.tokens,
             at - since,
             at - prefill.granted_at,
             prefill.expected_seconds,
         )
         self.remove_prefill(request_id, at)
-        return found
+        return finished
 
     def remove_prefill(self, request_id: str, at: float) -> None:
         """Remove a prompt from the prefill queue, if it is still there."""
--- a/packages/daemon/cassiaquay_daemon/decisions/objectives.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/objectives.py
@@ -119,15 +119,15 @@
 
     def learn(self, release: messages.Release) -> None:
         """Update a server's speed and health from the end of a request."""
-        known = self._times_of(release.server)
+        times = self._times_of(release.server)
         now = clock.now()
         if release.outcome == "completed":
-            known.ended(True, now)
-            known.completed(release.total_ms / 1000.0)
+            times.ended(True, now)
+            times.completed(release.total_ms / 1000.0)
             if not release.prompt_tokens:
-                known.served(release.total_ms / 1000.0)
+                times.served(release.total_ms / 1000.0)
         elif release.outcome in ("cut", "failed", "declined"):
-            known.ended(False, now)
+            times.ended(False, now)
 
     def serve(self) -> None:
         """Grant demands tier by tier, and shed those that cannot be in time."""
@@ -153,18 +153,18 @@
             if not is_forecast_fresh:
                 self._forecast.refresh()
                 is_forecast_fresh = True
-            kept = self._kept_slots.above(rank, now)
-            waiting = self._decide_late(left, ahead + kept, now)
+            kept_count = self._kept_slots.above(rank, now)
+            waiting = self._decide_late(left, ahead + kept_count, now)
             # The remaining demands are too many to weigh one by one, but those that
             # cannot be in time must still be refused in this pass.
-            ahead = self._decide_unweighed(far, waiting, now) - kept
+            ahead = self._decide_unweighed(far, waiting, now) - kept_count
 
     def waits(self) -> list[messages.RankWait]:
         """Return the estimated wait in this shard of a new demand of each rank."""
         now = clock.now()
         self._servers.refresh()
         self._forecast.refresh()
-        found = []
+        rank_waits = []
         ahead = 0
         for rank in self._order.ranks():
             if self._shard.cutoffs.is_held_back_by_others(rank):
@@ -175,24 +175,24 @@
             step = (
                 self._forecast.wait_seconds(rank, before + WAIT_STEP_DEMANDS) - wait
             ) / WAIT_STEP_DEMANDS
-            found.append(messages.RankWait(rank, wait * 1000.0, step * 1000.0))
-        return found
+            rank_waits.append(messages.RankWait(rank, wait * 1000.0, step * 1000.0))
+        return rank_waits
 
     def explain(self, demand: messages.Demand) -> list[policies.ServerEstimate]:
         """Return each open server's estimate for a demand, for operators."""
         now = clock.now()
         self._servers.refresh()
-        found = []
-        for item in self._servers.open:
+        estimates = []
+        for candidate in self._servers.open:
             choice = None
-            if item.has_slot(now):
-                choice = self._weigh(demand, item, now, 0.0, 0.0)
-            expected = item.times.expect(float(demand.prompt_tokens))
+            if candidate.has_slot(now):
+                choice = self._weigh(demand, candidate, now, 0.0, 0.0)
+            expected = candidate.times.expect(float(demand.prompt_tokens))
             finish = expected.first_seconds
             finish += demand.output_tokens * expected.event_seconds
-            found.append(
+            estimates.append(
                 policies.ServerEstimate(
-                    item.server.name,
+                    candidate.server.name,
                     choice is not None and not choice.is_late,
                     0,
                     choice.first_seconds if choice else expected.first_seconds,
@@ -200,7 +200,7 @@
                     0,
                 )
             )
-        return found
+        return estimates
 
     def _grant_in_time(self, order: list[str], now: float) -> list[shards.Waiting]:
         """Grant the demands that can be in time now; return the others."""
@@ -338,15 +338,15 @@
         self, waiting: shards.Waiting, objective_at: float, now: float
     ) -> choices.Choice | None:
         """Return the best server with a free slot; servers in time come first."""
-        kept = self._kept_slots.above(waiting.demand.rank, now)
-        if kept and self._servers.free_slots() <= kept:
+        kept_count = self._kept_slots.above(waiting.demand.rank, now)
+        if kept_count and self._servers.free_slots() <= kept_count:
             return None
         left = waiting.deadline - now
         demand = waiting.demand
         best: choices.Choice | None = None
         avoid = {*demand.avoid, *demand.tried}
-        for item in self._servers.with_free_slots(avoid, now):
-            choice = self._weigh(demand, item, now, objective_at, left)
+        for candidate in self._servers.with_free_slots(avoid, now):
+            choice = self._weigh(demand, candidate, now, objective_at, left)
             if choice is None:
                 continue
             if best is None or (choice.is_late, choice.cost) < (
@@ -359,27 +359,27 @@
     def _weigh(
         self,
         demand: messages.Demand,
-        found: candidates.Candidate,
+        candidate: candidates.Candidate,
         now: float,
         objective_at: float,
         left: float,
     ) -> choices.Choice | None:
-        server, load, known = found.server, found.load, found.times
-        unread = load.backlog_seconds(known.rate, now) * known.rate
+        server, load, times = candidate.server, candidate.load, candidate.times
+        unread = load.backlog_seconds(times.rate, now) * times.rate
         unread += demand.prompt_tokens
-        expected = known.expect(unread)
+        expected = times.expect(unread)
         if load.count and demand.pause_ms and demand.prompt_tokens:
-            reading = min(unread, INTERLEAVED_TOKENS) / known.rate
+            reading = min(unread, INTERLEAVED_TOKENS) / times.rate
             pause = expected.event_seconds + reading
             if pause > demand.pause_ms / 1000.0 * PAUSE_SHARE:
                 return None
-        first = found.queue_seconds + expected.first_seconds
+        first = candidate.queue_seconds + expected.first_seconds
         cost = first + demand.output_tokens * expected.event_seconds
         is_late = now + first + MARGIN_SECONDS > objective_at
         if cost > left * FINISH_SHARE:
             # The first event would be in time, but the deadline would cut the answer.
             is_late = True
-        cost += FAILURE_SECONDS * known.failure_share(now)
+        cost += FAILURE_SECONDS * times.failure_share(now)
         # Tie-break between equal servers: the less loaded one.
         cost += expected.first_seconds * load.count / server.slots
         return choices.Choice(server.name, first, cost, is_late)
@@ -401,24 +401,26 @@
             tokens, seconds = load.current_prefill(now)
             if not seconds:
                 continue
-            known = self._times_of(server)
-            expected = known.expect(float(tokens)).first_seconds
-            silence_limit = known.silence_limit(expected)
+            times = self._times_of(server)
+            expected = times.expect(float(tokens)).first_seconds
+            silence_limit = times.silence_limit(expected)
             # A single call of a plain service may legitimately take long. Two calls
             # without an answer, and none answered since, indicate a silent server.
             needed = 1 if tokens else 2
             if load.count_silent(silence_limit, now) >= needed:
-                known.mark_silent(now, seconds)
+                times.mark_silent(now, seconds)
                 self._shard.cold_budgets.cold.suspect_restart(server)
 
     def _times_of(self, server: str) -> service_times.ServiceTimes:
-        found = self._shard.servers.get(server)
-        started_ms = found.started_ms if found is not None else 0
-        known = self._service_times.get(server)
-        if known is None or (found is not None and known[0] != started_ms):
+        listed = self._shard.servers.get(server)
+        started_ms = listed.started_ms if listed is not None else 0
+        versioned_times = self._service_times.get(server)
+        if versioned_times is None or (
+            listed is not None and versioned_times[0] != started_ms
+        ):
             # The times of a server are reset when it restarts under the same name.
-            known = self._service_times[server] = (
+            versioned_times = self._service_times[server] = (
                 started_ms,
                 service_times.ServiceTimes(server),
             )
-        return known[1]
+        return versioned_times[1]
--- a/packages/daemon/cassiaquay_daemon/decisions/placement.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/placement.py
@@ -68,10 +68,13 @@
 
     def find(self, demand: messages.Demand) -> affinity.CachedPrefix:
         """Return how much of a demand's prompt the engine caches, now and soon."""
-        found = self.engine.index.find(demand.id, demand.blocks, demand.block_count)
+        cached_prefix = self.engine.index.find(
+            demand.id, demand.blocks, demand.block_count
+        )
         prompt_tokens = demand.prompt_tokens
         return affinity.CachedPrefix(
-            min(found.cached, prompt_tokens), min(found.pending, prompt_tokens)
+            min(cached_prefix.cached, prompt_tokens),
+            min(cached_prefix.pending, prompt_tokens),
         )
 
     def fits(self, tokens: int) -> bool:
@@ -233,9 +236,9 @@
         estimate = view.estimate
         cached = max(view.find(demand))
         step = estimate.floor_seconds * estimate.prefill_rate
-        found = float(max(demand.prompt_tokens - cached, 0))
-        found += demand.output_tokens * step / view.engine.server.slots
-        min_seconds = found if not number else min(min_seconds, found)
+        engine_work = float(max(demand.prompt_tokens - cached, 0))
+        engine_work += demand.output_tokens * step / view.engine.server.slots
+        min_seconds = engine_work if not number else min(min_seconds, engine_work)
     return max(int(min_seconds), 1)
 
 
--- a/packages/daemon/cassiaquay_daemon/decisions/prefixes.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/prefixes.py
@@ -40,9 +40,9 @@
 @functools.lru_cache(maxsize=MAX_BLOCKS + 1)
 def sampled_numbers(count: int) -> tuple[int, ...]:
     """Return the numbers of the sampled blocks of a prompt of ``count`` blocks."""
-    found = {number for number in SAMPLED_BLOCKS if number <= count}
-    found.update(range(max(count - TAIL_BLOCKS, 0) + 1, count + 1))
-    return tuple(sorted(found))
+    numbers = {number for number in SAMPLED_BLOCKS if number <= count}
+    numbers.update(range(max(count - TAIL_BLOCKS, 0) + 1, count + 1))
+    return tuple(sorted(numbers))
 
 
 def block_count(prompt: str) -> int:
@@ -52,7 +52,7 @@
 
 def blocks(prompt: str) -> list[int]:
     """Return the hashes of a prompt's sampled blocks."""
-    found: list[int] = []
+    hashes: list[int] = []
     count = block_count(prompt)
     sampled = sampled_numbers(count)
     previous = 0
@@ -60,9 +60,9 @@
         block = prompt[(number - 1) * BLOCK_CHARACTERS : number * BLOCK_CHARACTERS]
         data = previous.to_bytes(8, "big") + block.encode()
         previous = xxhash.xxh3_64_intdigest(data)
-        if number == sampled[len(found)]:
-            found.append(previous)
-    return found
+        if number == sampled[len(hashes)]:
+            hashes.append(previous)
+    return hashes
 
 
 def tokens_at(count: int, index: int) -> int:
--- a/packages/daemon/cassiaquay_daemon/decisions/quarantine.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/quarantine.py
@@ -26,7 +26,7 @@
 # of them when many servers crash at once.
 MIN_COMPARED_CRASHES = 2
 # Minimum interval between two removals of expired suspects.
-FORGET_INTERVAL_SECONDS = 1.0
+EXPIRY_INTERVAL_SECONDS = 1.0
 
 
 class Report(typing.NamedTuple):
@@ -83,7 +83,7 @@
     @property
     def count(self) -> int:
         """Number of requests that are held."""
-        return sum(self._is_held(found) for found in self._suspects.values())
+        return sum(self._is_held(suspect) for suspect in self._suspects.values())
 
     @property
     def suspect_count(self) -> int:
@@ -104,14 +104,14 @@
 
     def holds(self, content: str) -> bool:
         """Return whether a request is held and must not be sent to a server."""
-        found = self._suspects.get(content)
-        return found is not None and self._is_held(found)
+        suspect = self._suspects.get(content)
+        return suspect is not None and self._is_held(suspect)
 
     def record_refusal(self, content: str) -> None:
         """Record a refused attempt, so that the hold lasts while its caller retries."""
-        found = self._suspects.get(content)
-        if found is not None:
-            self._record_seen(content, found, clock.now())
+        suspect = self._suspects.get(content)
+        if suspect is not None:
+            self._record_seen(content, suspect, clock.now())
 
     def crashed(self, content: str, server: str) -> bool:
         """Record a server's crash; return whether it changes the request's report."""
@@ -132,61 +132,61 @@
         seen_at = clock.now() - report.age
         if report.age > self._gateway.quarantine_seconds:
             return False
-        found = self._suspects.get(report.content)
-        if found is None:
-            found = self._suspects[report.content] = _Suspect()
+        suspect = self._suspects.get(report.content)
+        if suspect is None:
+            suspect = self._suspects[report.content] = _Suspect()
             if len(self._suspects) > MAX_SUSPECTS:
                 self._suspects.popitem(last=False)
         # This instance may have seen the request complete before the first crash.
         is_cleared = report.is_cleared or report.content in self._completed
-        before = len(found.servers), found.is_cleared
-        found.servers |= report.servers
-        found.is_cleared |= is_cleared
-        self._record_seen(report.content, found, seen_at)
-        is_changed = (len(found.servers), found.is_cleared) != before
+        before = len(suspect.servers), suspect.is_cleared
+        suspect.servers |= report.servers
+        suspect.is_cleared |= is_cleared
+        self._record_seen(report.content, suspect, seen_at)
+        is_changed = (len(suspect.servers), suspect.is_cleared) != before
         if is_changed:
             self._digest = None
         return is_changed
 
     def report(self, content: str) -> Report:
         """Return the report of a request."""
-        found = self._suspects.get(content) or _Suspect()
-        age = max(clock.now() - found.seen_at, 0.0)
-        return Report(content, frozenset(found.servers), found.is_cleared, age)
+        suspect = self._suspects.get(content) or _Suspect()
+        age = max(clock.now() - suspect.seen_at, 0.0)
+        return Report(content, frozenset(suspect.servers), suspect.is_cleared, age)
 
     def reports(self) -> list[Report]:
         """Return the reports of requests with several crashes."""
-        found = []
+        reports = []
         for content, suspect in self._suspects.items():
             if len(suspect.servers) >= MIN_COMPARED_CRASHES:
-                found.append(self.report(content))
-        return found
+                reports.append(self.report(content))
+        return reports
 
-    def _is_held(self, found: _Suspect) -> bool:
-        if found.is_cleared:
+    def _is_held(self, suspect: _Suspect) -> bool:
+        if suspect.is_cleared:
             return False
-        missing = self._gateway.quarantine_crashes - len(found.servers)
-        if missing == 1 and found.servers:
+        missing = self._gateway.quarantine_crashes - len(suspect.servers)
+        if missing == 1 and suspect.servers:
             return self.is_history_lost()
         return missing <= 0
 
-    def _record_seen(self, content: str, found: _Suspect, seen_at: float) -> None:
+    def _record_seen(self, content: str, suspect: _Suspect, seen_at: float) -> None:
         # Ordered by the time at which a suspect was last seen.
-        if seen_at > found.seen_at:
-            found.seen_at = seen_at
+        if seen_at > suspect.seen_at:
+            suspect.seen_at = seen_at
             self._suspects.move_to_end(content)
 
     def _remove_expired(self) -> None:
         now = clock.now()
         if (
             not self._suspects
-            or now < self._removed_expired_at + FORGET_INTERVAL_SECONDS
+            or now < self._removed_expired_at + EXPIRY_INTERVAL_SECONDS
         ):
             return
         self._removed_expired_at = now
         horizon = now - self._gateway.quarantine_seconds
-        for content, found in list(self._suspects.items()):
-            if found.seen_at >= horizon:
+        for content, suspect in list(self._suspects.items()):
+            if suspect.seen_at >= horizon:
                 continue
             del self._suspects[content]
             self._digest = None
--- a/packages/daemon/cassiaquay_daemon/decisions/queues.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/queues.py
@@ -149,14 +149,14 @@
     def work_before(self, request_id: str) -> int:
         """Return the work that is served before a waiting demand."""
         entry = self._entries[request_id]
-        found = sum(
+        total_work = sum(
             self._work_by_rank[other]
             for other in self._work_by_rank
             if other < entry.rank
         )
         sizes = self._work_by_size[entry.rank]
-        found += sum(sizes[size] for size in sizes if size <= entry.size)
-        return found - entry.work
+        total_work += sum(sizes[size] for size in sizes if size <= entry.size)
+        return total_work - entry.work
 
     def last(self) -> str:
         """Return the demand to shed first: lowest tier, team served most, largest."""
--- a/packages/daemon/cassiaquay_daemon/decisions/reservations.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/reservations.py
@@ -34,11 +34,13 @@
 
         That is the slot kept for the most important rank at or below this one.
         """
-        found = min((kept for kept in self._kept if kept.rank >= rank), default=None)
-        if found is not None:
-            self._kept.remove(found)
+        best_slot = min(
+            (slot for slot in self._kept if slot.rank >= rank), default=None
+        )
+        if best_slot is not None:
+            self._kept.remove(best_slot)
 
     def above(self, rank: int, now: float) -> int:
         """Return how many slots are kept for ranks more important than this one."""
-        self._kept = [kept for kept in self._kept if kept.until > now]
-        return sum(kept.rank < rank for kept in self._kept)
+        self._kept = [slot for slot in self._kept if slot.until > now]
+        return sum(slot.rank < rank for slot in self._kept)
--- a/packages/daemon/cassiaquay_daemon/decisions/shards.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/shards.py
@@ -53,10 +53,8 @@
 
     Attributes
     ----------
-    owner : str
-        Instance that holds it.
-    server : str
-        Backend server.
+    owner, server : str
+        Instance that holds it, and backend server.
     tokens : int
         Estimated tokens that it occupies on the server.
     expires_at : float
@@ -96,7 +94,7 @@
     def advanced(self, server: str, tokens: int, seconds: float) -> None:
         """Handle an answer that grew by ``tokens`` (possibly 0) in ``seconds``."""
 
-    def started(self, running: Running, found: loads.FinishedPrefill) -> None:
+    def started(self, running: Running, finished: loads.FinishedPrefill) -> None:
         """Handle the first event after a prompt's prefill."""
 
     def stopped(self, running: Running) -> None:
@@ -159,11 +157,11 @@
         owners : collection of str, optional
             Live instances; the shard opens early when all of them have reported.
         """
-        # A new keeper that granted at once would put a second load on engines that
-        # are already full, and make every answer late.
+        # Granting at once would overload full engines and make every answer late. The
+        # placeholder for unknown owners never reports: `_opens_at` opens the shard.
         self._unreported_owners = {"nobody"} if owners is None else set(owners)
         self._opens_at = clock.now() + self.settings.keeper.renew_seconds * 1.5
-        self.cold_budgets.forget()
+        self.cold_budgets.clear()
 
     @property
     def unreported_owners(self) -> set[str]:
@@ -176,10 +174,10 @@
 
     def load(self, server: str) -> loads.Load:
         """Return the running totals of a server, created at the first call."""
-        found = self._loads.get(server)
-        if found is None:
-            found = self._loads[server] = loads.Load()
-        return found
+        load = self._loads.get(server)
+        if load is None:
+            load = self._loads[server] = loads.Load()
+        return load
 
     def add(self, demand: messages.Demand, replier: Replier) -> None:
         """Queue a demand, or renew it when its owner repeats it."""
@@ -188,8 +186,7 @@
             self._refused[server] = now
             self.cold_budgets.cold.suspect_restart(server)
         if not prefixes.is_consistent(demand.blocks, demand.block_count):
-            # An owner of another version samples other blocks: no affinity is better
-            # than a wrong one.
+            # Other versions sample other blocks; no affinity beats a wrong one.
             demand = demand._replace(blocks=[], block_count=0)
         running = self.running.get(demand.id)
         if running is not None:
@@ -262,16 +259,16 @@
             self.running[step.id] = running._replace(dispatched=True, expires_at=lease)
             if not step.started:
                 continue
-            found = self.load(running.server).finish_prefill(step.id, at)
+            finished = self.load(running.server).finish_prefill(step.id, at)
             self._refused.pop(running.server, None)
             self.cold_budgets.cold.confirm_alive(running.server)
-            if found is None:
+            if finished is None:
                 continue
             self.running[step.id] = self.running[step.id]._replace(
                 produced=1, produced_at=at
             )
             for observer in self._observers:
-                observer.started(running, found)
+                observer.started(running, finished)
 
     def grant(
         self,
@@ -317,7 +314,7 @@
         waiting.replier.send(permit)
 
     def shed(self, waiting: Waiting, code: str, retry_after_ms: int) -> None:
-        """Remove a demand and tell its owner to refuse it at once."""
+        """Remove a demand and send its owner a refusal for the caller."""
         self._unqueue(waiting.demand.id)
         logs.event(
             "shed",
@@ -375,7 +372,11 @@
 
     def open_servers(self) -> list[fleet.Server]:
         """Return the servers that may get new work."""
-        return [s for s in self.servers.values() if s.name not in self.closed_servers]
+        return [
+            server
+            for server in self.servers.values()
+            if server.name not in self.closed_servers
+        ]
 
     def tokens_on(self, server: str) -> int:
         """Return the tokens in flight on a server."""
@@ -388,31 +389,31 @@
     def _renew(
         self, owner: str, item: messages.Outstanding, now: float, lease: float
     ) -> None:
-        known = self.running.get(item.id)
-        if known is not None and known.server != item.server:
+        running = self.running.get(item.id)
+        if running is not None and running.server != item.server:
             self._remove_running(item.id)
-            known = None
-        if known is None:
+            running = None
+        if running is None:
             tokens = item.prompt_tokens + item.output_tokens
-            known = Running(owner, item.server, tokens, lease, produced_at=now)
-            self._add_running(item.id, known)
-        known = known._replace(owner=owner, expires_at=lease, dispatched=True)
-        self.running[item.id] = self._grow(item, known, now)
+            running = Running(owner, item.server, tokens, lease, produced_at=now)
+            self._add_running(item.id, running)
+        running = running._replace(owner=owner, expires_at=lease, dispatched=True)
+        self.running[item.id] = self._grow(item, running, now)
 
-    def _grow(self, item: messages.Outstanding, known: Running, now: float) -> Running:
+    def _grow(self, item: messages.Outstanding, prior: Running, now: float) -> Running:
         if not item.produced:
-            return known
-        found = self.load(known.server).finish_prefill(item.id, now)
-        if found is not None:
+            return prior
+        finished = self.load(prior.server).finish_prefill(item.id, now)
+        if finished is not None:
             for observer in self._observers:
-                observer.started(known, found)
-        if known.produced:
-            grown = item.produced - known.produced
+                observer.started(prior, finished)
+        if prior.produced:
+            grown = item.produced - prior.produced
             for observer in self._observers:
-                observer.advanced(known.server, grown, now - known.produced_at)
+                observer.advanced(prior.server, grown, now - prior.produced_at)
             if grown <= 0:
-                return known
-        return known._replace(produced=item.produced, produced_at=now)
+                return prior
+        return prior._replace(produced=item.produced, produced_at=now)
 
     def _unqueue(self, request_id: str) -> None:
         waiting = self.queue.pop(request_id, None)
--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -93,10 +93,10 @@
         if not flow.rate or flow.depth < 1.0:
             return []
         level = self._bucket.level(flow)
-        found = []
+        wait_seconds = []
         for number in range(1, count + 1):
-            found.append(max(number - level, 0.0) / flow.rate)
-        return found
+            wait_seconds.append(max(number - level, 0.0) / flow.rate)
+        return wait_seconds
 
 
 class SlowStart:
@@ -128,20 +128,22 @@
         for pool in fleet.pools.values():
             if not pool.cold_seconds or not pool.cold_requests_per_second:
                 continue
-            found = SlowStartTerms(pool.cold_seconds, self._flow(pool))
+            pool_terms = SlowStartTerms(pool.cold_seconds, self._flow(pool))
             for server in pool.servers:
-                terms[server.name] = found
+                terms[server.name] = pool_terms
                 current[server.name] = _ServerState(
                     server.started_ms,
                     server.cold_ms > 0,
                     server.domain in fleet.evacuated,
                 )
-                self._compare(server, found.seconds, current[server.name], is_first)
+                self._compare(
+                    server, pool_terms.seconds, current[server.name], is_first
+                )
         self._previous = current
         self._terms = terms
-        for known in (self._cold_until, self._suspected_until):
-            for name in [name for name in known if name not in terms]:
-                del known[name]
+        for expiry_times in (self._cold_until, self._suspected_until):
+            for name in [name for name in expiry_times if name not in terms]:
+                del expiry_times[name]
 
     def suspect_restart(self, server: str) -> None:
         """Treat a server as cold that refused a connection or has fallen silent.
@@ -241,12 +243,12 @@
         if not self.cold.is_cold(server):
             self._budgets.pop(server, None)
             return None
-        found = self._budgets.get(server)
-        if found is None:
-            found = self._budgets[server] = ColdBudget(
+        cold_budget = self._budgets.get(server)
+        if cold_budget is None:
+            cold_budget = self._budgets[server] = ColdBudget(
                 self.cold.flow(server), self.reachable_share
             )
-        return found
+        return cold_budget
 
     def allows(self, server: str) -> bool:
         """Return whether a server may get one more request now."""
@@ -262,7 +264,7 @@
         self.granted_count += 1
         return min(permit_ms, PERMIT_MS)
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Start with empty budgets: the previous keeper's grants are unknown."""
         self._budgets.clear()
 
--- a/packages/daemon/cassiaquay_daemon/decisions/team_order.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/team_order.py
@@ -68,14 +68,14 @@
         teams = [team for team in self._ranks[rank].values() if team.ids]
         teams.sort(key=_virtual_time)
         rows = [list(team.ids) for team in teams]
-        found: list[str] = []
+        request_ids: list[str] = []
         depth = 0
         while any(len(row) > depth for row in rows):
             for row in rows:
                 if len(row) > depth:
-                    found.append(row[depth])
+                    request_ids.append(row[depth])
             depth += 1
-        return found
+        return request_ids
 
 
 def _virtual_time(team: _Team) -> float:
--- a/packages/daemon/cassiaquay_daemon/decisions/tiered.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/tiered.py
@@ -63,7 +63,7 @@
         self._queues.remove(waiting)
         demand = waiting.demand
         for engine in self._engines.values():
-            engine.index.forget(demand.id)
+            engine.index.drop_memoized(demand.id)
         members = self._sessions.get(demand.session)
         if members is not None:
             members.pop(demand.id, None)
@@ -172,10 +172,10 @@
         """Return each open server's estimate for a demand, for operators."""
         now = clock.now()
         self._update_engines(now)
-        found = []
+        estimates = []
         for view in self._view_engines(now):
             choice = placement.choose(demand, view)
-            found.append(
+            estimates.append(
                 policies.ServerEstimate(
                     view.name,
                     choice.fits,
@@ -185,7 +185,7 @@
                     int(view.engine.speed.limit),
                 )
             )
-        return found
+        return estimates
 
     def _update_engines(self, now: float) -> None:
         start_tokens = self._shard.settings.keeper.start_tokens
@@ -201,15 +201,15 @@
                 del self._engines[name]
 
     def _view_engines(self, now: float) -> list[placement.View]:
-        found = []
+        views = []
         servers = self._shard.open_servers()
         # A server that refuses connections is idle and would be preferred for every
         # request. When all servers refuse, any of them may be tried.
         reachable = [item for item in servers if not self._shard.is_refusing(item.name)]
         for server in reachable or servers:
             engine = self._engines[server.name]
-            found.append(placement.View(engine, self._shard, now))
-        return found
+            views.append(placement.View(engine, self._shard, now))
+        return views
 
     def _shed_infeasible(self, views: list[placement.View], now: float) -> None:
         """Check new demands once, and shed those that cannot be in time."""
@@ -236,7 +236,8 @@
             waiting = self._shard.queue.get(request_id)
             if waiting is None:
                 continue
-            # Asks the other shards to hold lower tiers back, `NOTICE_SECONDS` early.
+            # Requests the other shards to hold lower tiers back, `NOTICE_SECONDS`
+            # before the shed.
             may_shed = self._shard.may_shed(waiting.demand.rank)
             if start_by > now or not may_shed:
                 not_yet.append((start_by, request_id))
--- a/packages/daemon/cassiaquay_daemon/decisions/windows.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/windows.py
@@ -37,7 +37,7 @@
     windows: collections.abc.MutableMapping[str, Window], key: str, seconds: float
 ) -> Window:
     """Return the window of a key; create it when there is none."""
-    found = windows.get(key)
-    if found is None:
-        found = windows[key] = Window(seconds)
-    return found
+    window = windows.get(key)
+    if window is None:
+        window = windows[key] = Window(seconds)
+    return window
--- a/packages/daemon/cassiaquay_daemon/keepers/demands.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/demands.py
@@ -16,8 +16,8 @@
 from ..links import peers
 from . import keeper, sending
 
-# Period of reports of dispatches and first events. A keeper delays grants until it
-# learns that dispatched prompts have been read, so a longer period idles engines.
+# Period of reports of dispatches and first events. A keeper delays grants until
+# reports show that dispatched prompts have been read, so a longer period idles engines.
 PROGRESS_SECONDS = 0.02
 
 
@@ -330,9 +330,9 @@
             self._return_permit(replier, permit)
             return
         if pending.future.done() or permit.server in pending.demand.avoid:
-            # A duplicate, or a permit granted before the keeper learnt that this server
-            # refused a connection. The keeper has learnt it by now, or the permit
-            # expires.
+            # A duplicate, or a permit granted before the keeper received the report
+            # that this server refused a connection. The keeper has received it by now,
+            # or the permit expires.
             return
         if self._was_paused() or clock.now() < self._rejects_permits_until:
             # This process was paused. The permit may be as old as the pause, and the
--- a/packages/daemon/cassiaquay_daemon/keepers/floors.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/floors.py
@@ -2,7 +2,7 @@
 
 A pool of more than 16 backend servers has several shards, each with its own keeper.
 Strict priority within each shard does not prevent one shard from shedding a tier while
-another still serves a lower one. So a keeper that has to shed first asks the keepers of
+another still serves a lower one. So before a keeper sheds, it requests the keepers of
 the pool's other shards to hold lower tiers back, and sheds when all of them do.
 """
 
--- a/packages/daemon/cassiaquay_daemon/keepers/keeper.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/keeper.py
@@ -148,7 +148,7 @@
         self.serve_soon(message.shard)
 
     def renewal(self, replier: shards.Replier, message: messages.Renewal) -> None:
-        """Renew an owner's leases; a new keeper learns of dispatched requests here."""
+        """Renew an owner's leases; a new keeper records its dispatched requests."""
         shard = self._shard(message.shard)
         if shard is not None:
             shard.renew(replier.instance, message.outstanding)
--- a/packages/daemon/cassiaquay_daemon/keepers/limit_keepers.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/limit_keepers.py
@@ -44,7 +44,7 @@
 
     def __init__(self, now: float):
         # Start with one permit instead of a full second's: a keeper that takes over
-        # does not know what the previous keeper has just granted.
+        # has no record of what the previous keeper has just granted.
         self._permits = 1.0
         self._filled_at = now
         self._leases: dict[str, Lease] = {}
--- a/packages/daemon/cassiaquay_daemon/keepers/quotas.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/quotas.py
@@ -347,8 +347,8 @@
     return facts.prompt_tokens + facts.most_output_tokens
 
 
-def _refusal(team: str, own_ms: float, given_ms: int) -> exceptions.LimitReached:
-    wait_ms = min(own_ms, given_ms) if given_ms else own_ms
+def _refusal(team: str, own_ms: float, keeper_ms: int) -> exceptions.LimitReached:
+    wait_ms = min(own_ms, keeper_ms) if keeper_ms else own_ms
     return exceptions.LimitReached(
         f"the limit of team {team} is reached",
         retry_after_ms=int(min(max(wait_ms, MIN_RETRY_MS), MAX_RETRY_MS)),
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -181,10 +181,10 @@
     async def run() -> None:
         before = await _spend(_quotas(Members("cq-1", [])), 20, 1000)
         time.now += 1.0
-        fresh = _quotas(Members("cq-1", []), first_start=False)
-        assert await _spend(fresh, 20, 1000) == 0
+        restarted = _quotas(Members("cq-1", []), first_start=False)
+        assert await _spend(restarted, 20, 1000) == 0
         time.now += 1.0
-        after = await _spend(fresh, 20, 1000)
+        after = await _spend(restarted, 20, 1000)
         assert 0 < after <= before / 2
 
     asyncio.run(run())
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -81,7 +81,7 @@
         for name, shard in (("cq-1", FIRST), ("cq-2", SECOND)):
             self.keepers[name].renewal(self.owner, messages.Renewal(shard, []))
 
-    def ask(self, name: str, shard: str, request_id: str, rank: int) -> None:
+    def send_demand(self, name: str, shard: str, request_id: str, rank: int) -> None:
         """Send a demand."""
         demand = fakes.demand(request_id, rank)._replace(shard=shard)
         self.keepers[name].demand(self.owner, demand)
@@ -90,7 +90,7 @@
         """Occupy every slot of the first shard, one by one since its queue is short."""
         count = len(_snapshot().shard_servers(FIRST))
         for number in range(count):
-            self.ask("cq-1", FIRST, f"fill{number}", 0)
+            self.send_demand("cq-1", FIRST, f"fill{number}", 0)
             await _run_pending_tasks()
         assert len(self.owner.permits()) == count
 
@@ -119,18 +119,18 @@
         pair.open()
         await pair.fill()
         for number in range(2):
-            pair.ask("cq-1", FIRST, f"urgent{number}", 0)
+            pair.send_demand("cq-1", FIRST, f"urgent{number}", 0)
         await _run_pending_tasks()
         assert list(pair.owner.sheds()) == ["urgent1"]
-        pair.ask("cq-2", SECOND, "urgent2", 0)
+        pair.send_demand("cq-2", SECOND, "urgent2", 0)
         await _run_pending_tasks()
         assert "urgent2" in pair.owner.permits()
-        pair.ask("cq-2", SECOND, "background", 1)
+        pair.send_demand("cq-2", SECOND, "background", 1)
         await _run_pending_tasks()
         assert "background" not in pair.owner.permits()
         assert "background" not in pair.owner.sheds()
         time.now += floors.HOLD_SECONDS + 0.1
-        pair.ask("cq-2", SECOND, "background", 1)
+        pair.send_demand("cq-2", SECOND, "background", 1)
         await _run_pending_tasks()
         assert "background" in pair.owner.permits()
 
@@ -151,11 +151,11 @@
         pair.open()
         await pair.fill()
         for number in range(2):
-            pair.ask("cq-1", FIRST, f"urgent{number}", 0)
+            pair.send_demand("cq-1", FIRST, f"urgent{number}", 0)
         await _run_pending_tasks()
         assert not pair.owner.sheds()
         time.now += floors.ANSWER_TIMEOUT_SECONDS + 0.01
-        pair.ask("cq-1", FIRST, "urgent0", 0)
+        pair.send_demand("cq-1", FIRST, "urgent0", 0)
         await _run_pending_tasks()
         assert list(pair.owner.sheds()) == ["urgent1"]
 
@@ -174,15 +174,15 @@
         pair = KeeperPair()
         pair.open()
         await pair.fill()
-        pair.ask("cq-1", FIRST, "background0", 1)
-        pair.ask("cq-1", FIRST, "background1", 1)
+        pair.send_demand("cq-1", FIRST, "background0", 1)
+        pair.send_demand("cq-1", FIRST, "background1", 1)
         await _run_pending_tasks()
         assert list(pair.owner.sheds()) == ["background1"]
-        pair.ask("cq-1", FIRST, "urgent0", 0)
-        pair.ask("cq-1", FIRST, "urgent1", 0)
+        pair.send_demand("cq-1", FIRST, "urgent0", 0)
+        pair.send_demand("cq-1", FIRST, "urgent1", 0)
         await _run_pending_tasks()
         assert "urgent1" in pair.owner.sheds()
-        pair.ask("cq-2", SECOND, "background2", 1)
+        pair.send_demand("cq-2", SECOND, "background2", 1)
         await _run_pending_tasks()
         assert "background2" not in pair.owner.permits()
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -100,12 +100,12 @@
     limit_keeper = _keeper(CONCURRENT, members)
     time.now += 60.0
     members.move("cq-1")
-    runs, asks = fakes.Owner("cq-3"), fakes.Owner("cq-4")
-    assert _query(limit_keeper, asks).permits == 0
+    running, waiting = fakes.Owner("cq-3"), fakes.Owner("cq-4")
+    assert _query(limit_keeper, waiting).permits == 0
     time.now += 0.7
-    limit_keeper.give_back(runs, messages.LimitReturn(KEY, 3))
+    limit_keeper.give_back(running, messages.LimitReturn(KEY, 3))
     time.now += 0.4
-    assert _query(limit_keeper, asks).permits == 0
+    assert _query(limit_keeper, waiting).permits == 0
 
 
 def test_two_parts_of_a_partition_use_at_most_twice_the_limit(time) -> None:
--- a/tests/test_objectives.py
+++ b/tests/test_objectives.py
@@ -171,8 +171,8 @@
 
 def test_explain_estimates_every_open_server(time) -> None:
     bench = objectives_fakes.Bench(time, {"a": 1, "b": 1})
-    found = bench.policy.explain(fakes.demand("x"))
-    assert {item.server for item in found} == {"a", "b"}
+    estimates = bench.policy.explain(fakes.demand("x"))
+    assert {item.server for item in estimates} == {"a", "b"}
 
 
 def test_held_back_demand_is_shed_when_it_cannot_be_in_time(time) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -262,7 +262,7 @@
     policy.serve()
     calls = []
     serve_team = policy._serve_team
-    policy._serve_team = lambda *found: calls.append(found) or serve_team(*found)
+    policy._serve_team = lambda *args: calls.append(args) or serve_team(*args)
     policy.serve()
     assert len(owner.permits()) == 16
     assert not calls
@@ -341,23 +341,23 @@
     load.add_prefill("one", 1000, 0.0, 0.1)
     assert load.backlog_seconds(10_000.0, 0.05) == pytest.approx(0.05)
     assert load.backlog_seconds(10_000.0, 9.0) == pytest.approx(0.01)
-    found = load.finish_prefill("one", 0.2)
-    assert found is not None
-    assert found.head_seconds == pytest.approx(0.2)
+    prefill = load.finish_prefill("one", 0.2)
+    assert prefill is not None
+    assert prefill.head_seconds == pytest.approx(0.2)
     assert load.backlog_seconds(10_000.0, 0.2) == 0.0
 
 
 def test_lengths_are_learned_by_service_and_team() -> None:
-    found = lengths.Lengths()
-    assert found.output_tokens("s", "t", 100) == 100
+    estimates = lengths.Lengths()
+    assert estimates.output_tokens("s", "t", 100) == 100
     for _ in range(20):
-        found.learn_answer("s", "short", 100, 10)
-        found.learn_answer("s", "long", 100, 80)
-        found.learn_prompt("s", 100, 150)
-    assert found.output_tokens("s", "short", 200) == 20
-    assert found.output_tokens("s", "long", 200) == 160
-    assert 20 < found.output_tokens("s", "new", 200) < 160
-    assert found.prompt_tokens("s", 40) == 60
+        estimates.learn_answer("s", "short", 100, 10)
+        estimates.learn_answer("s", "long", 100, 80)
+        estimates.learn_prompt("s", 100, 150)
+    assert estimates.output_tokens("s", "short", 200) == 20
+    assert estimates.output_tokens("s", "long", 200) == 160
+    assert 20 < estimates.output_tokens("s", "new", 200) < 160
+    assert estimates.prompt_tokens("s", 40) == 60
 
 
 def test_margin_of_a_tier_limits_which_demands_are_granted(time) -> None:
@@ -369,9 +369,9 @@
     for margin, granted in ((1.3, False), (0.9, True)):
         shard = fakes.shard({"a": 4})
         shard.margins = {0: margin}
-        found = fakes.policy(shard)
+        policy = fakes.policy(shard)
         owner = fakes.Owner()
         shard.add(fakes.demand("short", remaining_ms=500), owner)
-        found.serve()
+        policy.serve()
         assert ("short" in owner.permits()) is granted
         assert not owner.sheds()
--- a/tests/test_quota_schedules.py
+++ b/tests/test_quota_schedules.py
@@ -20,8 +20,8 @@
 from cassiaquay_schema import messages
 
 NAMES = [f"cq-{number}" for number in range(6)]
-SECONDS = 30.0
-WINDOW = 8.0
+DURATION_SECONDS = 30.0
+WINDOW_SECONDS = 8.0
 SEEDS = range(12)
 # A safeguard whose mutant none of these schedules detects is not covered by the test.
 MUTANT_SEEDS = range(40)
@@ -190,7 +190,7 @@
 
     async def run(time: fakes.Time) -> list[Spent]:
         fleet = Fleet(time, seed, refused_share)
-        ends_at = time.now + SECONDS
+        ends_at = time.now + DURATION_SECONDS
         while time.now < ends_at:
             fleet.step()
             await fleet.flood(wait)
@@ -205,7 +205,7 @@
     max_units = window_units = first = 0
     for item in spent:
         window_units += item.units
-        while spent[first].at <= item.at - WINDOW:
+        while spent[first].at <= item.at - WINDOW_SECONDS:
             window_units -= spent[first].units
             first += 1
         max_units = max(max_units, window_units)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -41,8 +41,8 @@
 
 
 def _server(name: str, **fields) -> fleet.Server:
-    found = {"started_ms": 1, "domain": "derby", "slots": 8, **fields}
-    return fleet.Server(name=name, address="h:1", **found)
+    values = {"started_ms": 1, "domain": "derby", "slots": 8, **fields}
+    return fleet.Server(name=name, address="h:1", **values)
 
 
 def _slow_start() -> slow_start.SlowStart:
@@ -155,7 +155,7 @@
     def granted(self, server: str) -> list[str]:
         """Return the requests that were granted on a server."""
         permits = self.owner.permits()
-        return [name for name, found in permits.items() if found == server]
+        return [name for name, granted in permits.items() if granted == server]
 
 
 def test_cold_server_with_free_slots_stays_within_its_rate(time) -> None:
@@ -211,7 +211,7 @@
 
 EVENTS = strategies.lists(
     strategies.tuples(
-        strategies.sampled_from(["ask", "wait", "move", "split", "heal", "restart"]),
+        strategies.sampled_from(["grant", "wait", "move", "split", "heal", "restart"]),
         strategies.floats(0.0, 0.4),
         strategies.integers(0, 1),
     ),
@@ -245,22 +245,24 @@
             elif kind == "heal":
                 keepers[0].reachable_share = keepers[1].reachable_share = 1.0
             elif kind in ("move", "restart"):
-                keeper.cold_budgets.forget()
-            while kind == "ask" and keeper.cold_budgets.allows("e1"):
+                keeper.cold_budgets.clear()
+            while kind == "grant" and keeper.cold_budgets.allows("e1"):
                 keeper.cold_budgets.granted("e1", 1500)
                 granted.append(time.now)
             cold.suspect_restart("e1")
         # A permit may be used at any time of its lifetime, so the permits of a span
         # that is longer by one lifetime may all arrive within one second.
         span = 1.0 + slow_start.PERMIT_MS / 1000.0
-        worst = collections.Counter()
+        arrivals_by_start = collections.Counter()
         for first in granted:
-            worst[first] = sum(first <= other <= first + span for other in granted)
-        assert max(worst.values(), default=0) <= BOUND
+            arrivals_by_start[first] = sum(
+                first <= other <= first + span for other in granted
+            )
+        assert max(arrivals_by_start.values(), default=0) <= BOUND
 
 
 def test_closed_shard_restarts_with_empty_cold_budgets(time) -> None:
-    """A new keeper does not know the grants of the previous one."""
+    """A new keeper has no record of the grants of the previous one."""
     site = Site(time)
     time.now += 1.0
     assert site.shard.cold_budgets.allows("e1")
@@ -277,8 +279,8 @@
 
 
 def test_shard_without_slow_start_allows_any_server() -> None:
-    found = shards.Shard(fakes.SHARD, fakes.settings())
-    assert found.cold_budgets.allows("anything")
+    shard = shards.Shard(fakes.SHARD, fakes.settings())
+    assert shard.cold_budgets.allows("anything")
 
 
 def test_changed_settings_apply_from_the_next_server_list(time) -> None:
--- a/tests/test_spillover.py
+++ b/tests/test_spillover.py
@@ -56,8 +56,10 @@
 
     def report_waits(self, shard: str, *waits: tuple[int, float, float]) -> None:
         """Deliver another shard's report of its waits."""
-        found = [messages.RankWait(*wait) for wait in waits]
-        self.links.handlers[messages.Waits](self.other, messages.Waits(shard, found))
+        rank_waits = [messages.RankWait(*wait) for wait in waits]
+        self.links.handlers[messages.Waits](
+            self.other, messages.Waits(shard, rank_waits)
+        )
 
     def fill(self) -> None:
         """Occupy the only slot with an answer of some seconds."""
@@ -68,15 +70,15 @@
 
     def demand(self, name: str, rank: int = 0, **fields) -> None:
         """Add a demand whose first event is due within 0.4 s."""
-        found = fakes.demand(name, rank=rank)._replace(
+        demand = fakes.demand(name, rank=rank)._replace(
             first_ms=400, remaining_ms=12_000, pause_ms=300
         )
-        self.shard.add(found._replace(**fields), self.owner)
+        self.shard.add(demand._replace(**fields), self.owner)
 
     def moved(self) -> dict[str, str]:
         """Return the target shard of each moved demand."""
-        found = [item for item in self.owner.sent if isinstance(item, messages.Moved)]
-        return {item.id: item.target for item in found}
+        moves = [item for item in self.owner.sent if isinstance(item, messages.Moved)]
+        return {item.id: item.target for item in moves}
 
 
 @pytest.fixture(name="time")
@@ -188,17 +190,17 @@
         first, second = fakes.Owner("cq-2"), fakes.Owner("cq-3")
         links = fakes.Links()
         members = fakes.Membership("cq-1", [first, second])
-        found = demands.Demands(fakes.settings("cq-1"), links, members, Local())
+        owner_demands = demands.Demands(fakes.settings("cq-1"), links, members, Local())
         demand = fakes.demand("d1")._replace(shard=HERE, first_ms=400)
-        task = asyncio.create_task(found.obtain(demand, time.now + 5.0))
+        task = asyncio.create_task(owner_demands.obtain(demand, time.now + 5.0))
         await asyncio.sleep(0)
         time.now += 0.1
-        found.answer(first, messages.Moved("d1", HERE, THERE))
+        owner_demands.answer(first, messages.Moved("d1", HERE, THERE))
         [message] = second.sent
         assert (message.shard, message.moves, message.first_ms) == (THERE, 1, 300)
-        found.answer(first, messages.Permit("d1", "a", 1000, HERE))
+        owner_demands.answer(first, messages.Permit("d1", "a", 1000, HERE))
         assert isinstance(first.sent[-1], messages.Withdraw)
-        found.answer(second, messages.Permit("d1", "b", 1000, THERE))
+        owner_demands.answer(second, messages.Permit("d1", "b", 1000, THERE))
         permission = await task
         assert (permission.server, permission.shard) == ("b", THERE)
 
