--- a/packages/daemon/cassiaquay_daemon/decisions/service_times.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/service_times.py
@@ -78,10 +78,10 @@
         self.event_seconds = START_EVENT_SECONDS
         self.base_seconds = START_BASE_SECONDS
         self.slot_seconds = START_SLOT_SECONDS
-        self._slot_known = False
-        self._rate_known = False
-        self._events_known = False
-        self._base_known = False
+        self._has_slot_sample = False
+        self._has_rate_sample = False
+        self._has_event_sample = False
+        self._has_base_sample = False
         self._failure_share = 0.0
         self._failure_share_at = clock.now()
         self._silent_until = 0.0
@@ -141,12 +141,12 @@
             sample = min(head_seconds, seconds) - tokens / self.rate
             self._learn_base(max(sample, 0.0))
             return
-        spent = head_seconds - self.base_seconds
-        if spent <= 0.0:
+        prefill_seconds = head_seconds - self.base_seconds
+        if prefill_seconds <= 0.0:
             return
-        rate = min(max(tokens / spent, MIN_RATE), MAX_RATE)
-        if not self._rate_known:
-            self._rate_known = True
+        rate = min(max(tokens / prefill_seconds, MIN_RATE), MAX_RATE)
+        if not self._has_rate_sample:
+            self._has_rate_sample = True
             self.rate = rate
             return
         weight = SLOWER_WEIGHT if rate < self.rate else FASTER_WEIGHT
@@ -162,8 +162,8 @@
             return
         self._mark_responsive()
         sample = seconds / events
-        if not self._events_known:
-            self._events_known = True
+        if not self._has_event_sample:
+            self._has_event_sample = True
             self.event_seconds = sample
             return
         weight = SLOWER_WEIGHT if sample > self.event_seconds else FASTER_WEIGHT
@@ -178,8 +178,8 @@
 
     def completed(self, seconds: float) -> None:
         """Learn from the time for which a request occupied a slot."""
-        if not self._slot_known:
-            self._slot_known = True
+        if not self._has_slot_sample:
+            self._has_slot_sample = True
             self.slot_seconds = seconds
             return
         self.slot_seconds += SLOT_WEIGHT * (seconds - self.slot_seconds)
@@ -225,8 +225,8 @@
     def _learn_base(self, sample: float) -> None:
         if not math.isfinite(sample):
             return
-        if not self._base_known:
-            self._base_known = True
+        if not self._has_base_sample:
+            self._has_base_sample = True
             self.base_seconds = sample
             return
         weight = SLOWER_WEIGHT if sample > self.base_seconds else FASTER_WEIGHT
--- a/packages/daemon/cassiaquay_daemon/decisions/speeds.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/speeds.py
@@ -75,8 +75,8 @@
         self.token_seconds = START_TOKEN_SECONDS
         self.limit = float(min(start_tokens, max_tokens or start_tokens))
         self._max_tokens = float(max_tokens) if max_tokens else None
-        self._rate_known = False
-        self._tokens_known = False
+        self._has_rate_sample = False
+        self._has_token_sample = False
         self._floor = START_TOKEN_SECONDS
         self._sampled_at = float("-inf")
         self._is_growing_fast = True
@@ -111,8 +111,8 @@
         if tokens < MIN_SAMPLE_TOKENS or seconds <= 0.0:
             return
         rate = max(tokens / seconds, MIN_PREFILL_RATE)
-        if not self._rate_known:
-            self._rate_known = True
+        if not self._has_rate_sample:
+            self._has_rate_sample = True
             self.prefill_rate = rate
             return
         # Mean of the time per token, not of the rate: one fast sample must not hide
@@ -134,8 +134,8 @@
         if tokens < 1 or seconds <= 0.0:
             return
         sample = seconds / tokens
-        if not self._tokens_known:
-            self._tokens_known = True
+        if not self._has_token_sample:
+            self._has_token_sample = True
             self.token_seconds = self._floor = sample
             return
         weight = SLOWER_WEIGHT if sample > self.token_seconds else FASTER_WEIGHT
@@ -146,8 +146,8 @@
 
     def served(self, seconds: float) -> None:
         """Learn from a call of a plain service, whose answer counts as one token."""
-        if not self._tokens_known:
-            self._tokens_known = True
+        if not self._has_token_sample:
+            self._has_token_sample = True
             self.token_seconds = self._floor = seconds
             return
         self.token_seconds += CALL_WEIGHT * (seconds - self.token_seconds)
@@ -174,7 +174,7 @@
         now : float
             Seconds on this clock.
         """
-        if in_flight * 2 <= self.limit or not self._rate_known:
+        if in_flight * 2 <= self.limit or not self._has_rate_sample:
             # In flight far below the limit, or estimated before any sample of this
             # engine: lateness is not evidence about the limit.
             return
--- a/packages/daemon/cassiaquay_daemon/keepers/demands.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/demands.py
@@ -144,8 +144,8 @@
         deadline : float
             Seconds on this clock.
         patience : float, optional
-            Raise KeeperSilent when the keeper sends no acknowledgement for this many
-            seconds.
+            Raise KeeperUnresponsive when the keeper sends no acknowledgement for this
+            many seconds.
         """
         future: asyncio.Future[Permission] = asyncio.get_running_loop().create_future()
         demand = self._with_estimates(demand)
@@ -233,7 +233,7 @@
                 self._report_progress(shard)
 
     async def _wait_acknowledged(self, name: str, patience: float) -> None:
-        """Return when the demand is decided; raise KeeperSilent without a reply."""
+        """Return when the demand is decided; raise KeeperUnresponsive otherwise."""
         future = self._pending[name].future
         while True:
             checked_at = clock.now()
--- a/packages/daemon/cassiaquay_daemon/keepers/limits.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/limits.py
@@ -100,7 +100,7 @@
         self, team: str, service: str, rank: int
     ) -> collections.abc.AsyncIterator[None]:
         """Hold a permit of the team and the service; raise LimitReached without one."""
-        held: list[str] = []
+        held_keys: list[str] = []
         keys = (f"{limit_keepers.TEAM} {team}", f"{limit_keepers.SERVICE} {service}")
         try:
             for key in keys:
@@ -110,10 +110,10 @@
                 await self._take(key, limit, rank)
                 if limit.concurrent is not None:
                     self._caches[key].held += 1
-                    held.append(key)
+                    held_keys.append(key)
             yield
         finally:
-            for key in held:
+            for key in held_keys:
                 cache = self._caches[key]
                 cache.held -= 1
                 self._send(key, messages.LimitReturn(key, cache.held))
--- a/packages/daemon/cassiaquay_daemon/keepers/quotas.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/quotas.py
@@ -179,12 +179,12 @@
         if team is None or team.quota is None:
             return None
         units = units_of(team.quota, facts)
-        own = _bucket_of(self._own_buckets, team.name, self._own_from)
+        own_bucket = _bucket_of(self._own_buckets, team.name, self._own_from)
         share = self._own_part() / self._membership.fleet_size()
         flow = self._flow(team.quota).scaled(share)
-        own_wait = own.reserve(units, flow, 0.0)
+        own_wait = own_bucket.reserve(units, flow, 0.0)
         if not own_wait:
-            return Taken(units, own)
+            return Taken(units, own_bucket)
         keeper = self._membership.keeper_of(_limit_key(team.name))
         answer = await self._query_keeper(
             keeper, team.name, units, min(patience, own_wait)
@@ -192,9 +192,9 @@
         if answer.units:
             taken = Taken(units, keeper=keeper, number=answer.number)
             return await self._wait_reserved(taken, answer.wait_ms / 1000.0)
-        own_wait = own.reserve(units, flow, patience)
+        own_wait = own_bucket.reserve(units, flow, patience)
         if own_wait <= patience:
-            return await self._wait_reserved(Taken(units, own), own_wait)
+            return await self._wait_reserved(Taken(units, own_bucket), own_wait)
         raise _refusal(team.name, own_wait * 1000.0, answer.wait_ms)
 
     def give_back(self, taken: Taken) -> None:
--- a/packages/daemon/cassiaquay_daemon/owners/dispatching.py
+++ b/packages/daemon/cassiaquay_daemon/owners/dispatching.py
@@ -156,18 +156,18 @@
             self._check_before_sending(entry, permission, server)
             self._mark_dispatched(attempt)
 
-        running = asyncio.create_task(
+        run_task = asyncio.create_task(
             backend.run(server, entry.accepted.call, entry.answer, before_sending)
         )
         try:
-            figures = await asyncio.shield(running)
+            usage = await asyncio.shield(run_task)
         except asyncio.CancelledError:
             if entry.state is entries.State.DISPATCHED and not backend.can_stop:
                 # Closing the connection would save no work and lose the outcome.
-                self._start_background(self._wait_for_outcome(attempt, running))
+                self._start_background(self._wait_for_outcome(attempt, run_task))
                 raise
-            running.cancel()
-            await asyncio.gather(running, return_exceptions=True)
+            run_task.cancel()
+            await asyncio.gather(run_task, return_exceptions=True)
             self._record_failure(attempt, backend)
             raise
         except exceptions.NotSent:
@@ -180,8 +180,8 @@
         except Exception:
             self._record_failure(attempt, backend)
             raise
-        entry.figures = figures
-        self._release(attempt, "completed", figures)
+        entry.figures = usage
+        self._release(attempt, "completed", usage)
         if self.crashes is not None:
             self.crashes.completed(entry.content)
 
@@ -253,12 +253,12 @@
         entry = attempt.entry
         if entry.state is entries.State.WAITING:
             return
-        figures = backends.TokenUsage(entry.accepted.prompt_tokens, 0, 0)
-        self._release(attempt, "unknown", figures)
+        usage = backends.TokenUsage(entry.accepted.prompt_tokens, 0, 0)
+        self._release(attempt, "unknown", usage)
         self._start_background(self._stop(backend, attempt))
 
     def _release(
-        self, attempt: "_Attempt", outcome: str, figures: backends.TokenUsage
+        self, attempt: "_Attempt", outcome: str, usage: backends.TokenUsage
     ) -> None:
         entry, demand, server, started_at = attempt
         now = clock.now()
@@ -269,8 +269,8 @@
                 demand.shard,
                 server.name,
                 outcome,
-                figures.prompt_tokens,
-                figures.cached_tokens,
+                usage.prompt_tokens,
+                usage.cached_tokens,
                 entry.answer.count,
                 first_ms,
                 (now - started_at) * 1000.0,
@@ -278,13 +278,13 @@
         )
 
     async def _wait_for_outcome(
-        self, attempt: "_Attempt", running: "asyncio.Task[backends.TokenUsage]"
+        self, attempt: "_Attempt", run_task: "asyncio.Task[backends.TokenUsage]"
     ) -> None:
         entry = attempt.entry
         outcome, code = "", ""
         try:
             async with asyncio.timeout(OUTCOME_WAIT_SECONDS):
-                figures = await running
+                usage = await run_task
             outcome, code = "completed", "completed"
         except exceptions.BackendError as error:
             refusal = _refusal(error)
@@ -295,8 +295,8 @@
             self._table.resolve_outcome(entry, outcome, code)
             logs.event("settled", id=entry.accepted.id.text, outcome=outcome, code=code)
         if outcome != "completed":
-            figures = backends.TokenUsage(0, 0, 0)
-        self._release(attempt, outcome or "unknown", figures)
+            usage = backends.TokenUsage(0, 0, 0)
+        self._release(attempt, outcome or "unknown", usage)
 
     async def _stop(self, backend: backends.Backend, attempt: "_Attempt") -> None:
         waste = await backend.cancel(attempt.server, attempt.entry.accepted.call.key)
--- a/packages/daemon/cassiaquay_daemon/owners/gates.py
+++ b/packages/daemon/cassiaquay_daemon/owners/gates.py
@@ -17,7 +17,7 @@
         """Let a request through while it runs; raise a Refusal otherwise."""
 
 
-class Open:
+class OpenGate:
     """Lets every request through."""
 
     @contextlib.asynccontextmanager
@@ -28,7 +28,7 @@
         yield
 
 
-OPEN = Open()
+OPEN_GATE = OpenGate()
 
 
 class CheckedGate:
--- a/packages/daemon/cassiaquay_daemon/owners/owner.py
+++ b/packages/daemon/cassiaquay_daemon/owners/owner.py
@@ -59,7 +59,7 @@
         capacity: dispatching.Capacity,
         is_leaving: collections.abc.Callable[[str], bool],
         better_address: collections.abc.Callable[[], str],
-        gate: gates.Gate = gates.OPEN,
+        gate: gates.Gate = gates.OPEN_GATE,
     ):
         self.leaving = False
         self.request_table = table.Table(settings.owner)
@@ -237,10 +237,10 @@
             )
         while self._running_tasks():
             await asyncio.wait(self._running_tasks())
-        end = clock.now() + UNREAD_WAIT_SECONDS
+        waits_until = clock.now() + UNREAD_WAIT_SECONDS
         while (
             any(_is_unread(entry) for entry in self.request_table.ended())
-            and clock.now() < end
+            and clock.now() < waits_until
         ):
             await asyncio.sleep(UNREAD_POLL_SECONDS)
 
--- a/packages/daemon/cassiaquay_daemon/owners/recovery.py
+++ b/packages/daemon/cassiaquay_daemon/owners/recovery.py
@@ -15,9 +15,9 @@
 from ..configured import snapshots
 
 FIND_TIMEOUT_SECONDS = 2.0
-KEEP_SECONDS = 60.0
+STREAM_LIFETIME_SECONDS = 60.0
 # Streams kept for callers that reconnect; an evicted one is read again from its engine.
-MAX_KEPT_STREAMS = 1000
+MAX_RECOVERED_STREAMS = 1000
 READ_ATTEMPTS = 3
 READ_RETRY_SECONDS = 0.1
 
@@ -52,8 +52,8 @@
     async def find(
         self, key: str, snapshot: snapshots.Snapshot, service: str
     ) -> RecoveredStream:
-        """Return the stream of ``key``; raise OwnerGone if no server holds it."""
-        self._drop_old()
+        """Return the stream of ``key``; raise OwnerLost if no server holds it."""
+        self._drop_expired_streams()
         existing = self._streams.get(key)
         if existing is not None and existing.refusal is None:
             return existing
@@ -64,7 +64,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             probes.append((task, recovered))
-        stream = await _first_found([recovered for _, recovered in probes])
+        stream = await _first_opened([recovered for _, recovered in probes])
         for task, recovered in probes:
             if recovered is not stream:
                 task.cancel()
@@ -128,24 +128,24 @@
         refusal = recovered.refusal
         answer.finish(refusal.outcome, refusal.code, refusal.message)
 
-    def _drop_old(self) -> None:
-        oldest_kept = clock.now() - KEEP_SECONDS
+    def _drop_expired_streams(self) -> None:
+        min_started_at = clock.now() - STREAM_LIFETIME_SECONDS
         for key in list(self._streams):
-            too_many = len(self._streams) > MAX_KEPT_STREAMS
-            if self._streams[key].started_at < oldest_kept or too_many:
+            too_many = len(self._streams) > MAX_RECOVERED_STREAMS
+            if self._streams[key].started_at < min_started_at or too_many:
                 del self._streams[key]
 
 
-async def _first_found(candidates: list[RecoveredStream]) -> RecoveredStream | None:
+async def _first_opened(candidates: list[RecoveredStream]) -> RecoveredStream | None:
     waits: dict[asyncio.Task[None], RecoveredStream] = {}
     for candidate in candidates:
         waits[asyncio.create_task(candidate.answer.wait_open())] = candidate
-    end = clock.now() + FIND_TIMEOUT_SECONDS
+    timeout_at = clock.now() + FIND_TIMEOUT_SECONDS
     try:
         while waits:
             done, _ = await asyncio.wait(
                 waits,
-                timeout=max(end - clock.now(), 0.0),
+                timeout=max(timeout_at - clock.now(), 0.0),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if not done:
--- a/packages/daemon/cassiaquay_daemon/owners/table.py
+++ b/packages/daemon/cassiaquay_daemon/owners/table.py
@@ -134,7 +134,10 @@
             return
         self.evict_ended()
         while self.is_full:
-            lowest = max((r for r, held in self._waiting.items() if held), default=rank)
+            lowest = max(
+                (other for other, waiting in self._waiting.items() if waiting),
+                default=rank,
+            )
             if lowest <= rank:
                 raise exceptions.TableFull(retry_after_ms=RETRY_AFTER_MS)
             entry = next(reversed(self._waiting[lowest].values()))
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -11,7 +11,7 @@
 from cassiaquay_schema import messages
 
 RENEW_SECONDS = 0.7
-RUNS = messages.Outstanding("runs", "", "", 0, "tutor-1", 40, 20)
+RUNNING_REQUEST = messages.Outstanding("runs", "", "", 0, "tutor-1", 40, 20)
 
 
 class Site:
@@ -249,7 +249,7 @@
     async def work() -> None:
         site = Site(keeps=False)
         late = fakes.Owner("cq-2")
-        site.demands.dispatched(fakes.SHARD, RUNS, answers.Answer())
+        site.demands.dispatched(fakes.SHARD, RUNNING_REQUEST, answers.Answer())
         permit = messages.Permit("runs", "tutor-1", 1500, fakes.SHARD)
         site.demands.answer(late, permit)
         assert late.sent == []
@@ -279,7 +279,7 @@
     async def work() -> None:
         site = Site(keeps=False)
         answer = answers.Answer()
-        site.demands.dispatched(fakes.SHARD, RUNS, answer)
+        site.demands.dispatched(fakes.SHARD, RUNNING_REQUEST, answer)
         reporting = asyncio.create_task(site.demands.report())
         await asyncio.sleep(0.07)
         answer.append(b"{}")
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -12,10 +12,10 @@
 from cassiaquay_schema import fleet, messages
 
 COLD_SECONDS = 3.0
-RATE = 12.0
+REQUESTS_PER_SECOND = 12.0
 EXCESS = 1.5
 SLACK = 5.0
-BOUND = RATE * EXCESS + SLACK
+BOUND = REQUESTS_PER_SECOND * EXCESS + SLACK
 SERVERS = ("e1", "e2")
 
 
@@ -29,7 +29,7 @@
     pool = fleet.Pool(
         servers=list(servers.values()),
         cold_seconds=COLD_SECONDS,
-        cold_requests_per_second=RATE,
+        cold_requests_per_second=REQUESTS_PER_SECOND,
     )
     return fleet.Fleet(
         tiers={"t": fleet.Tier(rank=0)},
