--- a/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/slow_start.py
@@ -32,7 +32,7 @@
 DEPTH_SHARE = 0.125
 # Maximum delay of a server's own report that it is cold: the period of its heartbeats,
 # their way through the store and the next read of the server list.
-REPORT_SECONDS = 2.5
+MAX_REPORT_DELAY_SECONDS = 2.5
 
 
 class SlowStartTerms(typing.NamedTuple):
@@ -154,7 +154,7 @@
         terms = self._terms.get(server)
         if terms is None:
             return
-        seconds = terms.seconds + REPORT_SECONDS
+        seconds = terms.seconds + MAX_REPORT_DELAY_SECONDS
         if not self._is_suspected(server):
             _log_cold(server, seconds, "doubted")
         self._suspected_until[server] = clock.now() + seconds
@@ -210,7 +210,7 @@
         elif previous.started_ms != current.started_ms:
             self._set_cold(server.name, seconds, "restarted")
         elif previous.is_evacuated and not current.is_evacuated:
-            self._set_cold(server.name, seconds + REPORT_SECONDS, "evacuated")
+            self._set_cold(server.name, seconds + MAX_REPORT_DELAY_SECONDS, "evacuated")
         if current.is_cold and (previous is None or not previous.is_cold):
             self._set_cold(server.name, server.cold_ms / 1000.0, "reported")
 
--- a/packages/daemon/cassiaquay_daemon/decisions/tiered.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/tiered.py
@@ -14,14 +14,14 @@
 MAX_WEIGHED_DEMANDS = 64
 # After a tier was shed for overload, no tier below it gets a grant for this long.
 FLOOR_SECONDS = 0.5
-# The other shards of the pool are asked to hold back lower tiers this long before a
-# shed.
+# Time before a shed at which the shard requests the pool's other shards to hold lower
+# tiers back.
 NOTICE_SECONDS = 0.05
 # With more demands than this in the queue, engine time spent on prefill delays others
 # and gets the higher weight.
-PRESSURE_QUEUE_LENGTH = 8
-PRESSURE = 20.0
-IDLE_PRESSURE = 1.0
+BUSY_QUEUE_LENGTH = 8
+BUSY_PREFILL_WEIGHT = 20.0
+IDLE_PREFILL_WEIGHT = 1.0
 
 
 @policies.policies.register(NAME)
@@ -260,8 +260,8 @@
         while len(self._queues) > limit:
             waiting = self._shard.queue[self._queues.last()]
             if not self._shard.may_shed(waiting.demand.rank):
-                # The other shards of the pool are being asked to hold lower tiers
-                # back; the queue exceeds its limit until they answer.
+                # Requests to the pool's other shards to hold lower tiers back are
+                # pending; the queue exceeds its limit until they answer.
                 return
             before = self._queues.work_before(waiting.demand.id)
             wait = self._drain.wait_seconds(waiting.demand.rank, before)
@@ -315,7 +315,7 @@
             waiting = self._shard.queue[request_id]
             margin = self._shard.margins.get(rank, placement.MARGIN_FACTOR)
             options = placement.weigh(
-                waiting.demand, waiting.deadline, views, self._pressure(), margin
+                waiting.demand, waiting.deadline, views, self._prefill_weight(), margin
             )
             if options.best is not None:
                 self._grant(waiting, options.best)
@@ -330,8 +330,12 @@
             reserved.add(options.awaited.view.name)
         return False
 
-    def _pressure(self) -> float:
-        return PRESSURE if len(self._queues) > PRESSURE_QUEUE_LENGTH else IDLE_PRESSURE
+    def _prefill_weight(self) -> float:
+        return (
+            BUSY_PREFILL_WEIGHT
+            if len(self._queues) > BUSY_QUEUE_LENGTH
+            else IDLE_PREFILL_WEIGHT
+        )
 
     def _grant(self, waiting: shards.Waiting, choice: placement.Choice) -> None:
         demand = waiting.demand
--- a/packages/daemon/cassiaquay_daemon/keepers/floors.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/floors.py
@@ -2,8 +2,9 @@
 
 A pool of more than 16 backend servers has several shards, each with its own keeper.
 Strict priority within each shard does not prevent one shard from shedding a tier while
-another still serves a lower one. So before a keeper sheds, it requests the keepers of
-the pool's other shards to hold lower tiers back, and sheds when all of them do.
+another still serves a lower one. So before a keeper sheds, it sends a request to hold
+lower tiers back to the keepers of the pool's other shards, and sheds when all of them
+have accepted it.
 """
 
 import typing
--- a/packages/daemon/cassiaquay_daemon/keepers/spillover.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/spillover.py
@@ -25,7 +25,7 @@
 REPORT_LIFETIME_SECONDS = 0.3
 # Least gain for a move: covers the transfer and the error of the estimate.
 GAIN_SECONDS = 0.03
-# Keeps shards that are all full from passing a demand round.
+# Keeps full shards from moving a demand among themselves again and again.
 MAX_MOVES = 2
 
 
--- a/packages/daemon/cassiaquay_daemon/owners/recovery.py
+++ b/packages/daemon/cassiaquay_daemon/owners/recovery.py
@@ -16,7 +16,7 @@
 
 FIND_TIMEOUT_SECONDS = 2.0
 STREAM_LIFETIME_SECONDS = 60.0
-# Streams kept for callers that reconnect; an evicted one is read again from its engine.
+# Kept for callers that reconnect; an evicted stream is read again from its engine.
 MAX_RECOVERED_STREAMS = 1000
 READ_ATTEMPTS = 3
 READ_RETRY_SECONDS = 0.1
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -158,9 +158,9 @@
     async def run() -> None:
         fleet = []
         for _ in range(parts):
-            keeping = Members("cq-1", [])
-            keeping.reachable = reachable
-            fleet.append(_quotas(keeping))
+            keeper_members = Members("cq-1", [])
+            keeper_members.reachable = reachable
+            fleet.append(_quotas(keeper_members))
             # The other instances of the partition spend only their own shares, since
             # the keeper's own requests use up its part.
             for _ in range(reachable - 1):
@@ -239,12 +239,12 @@
     back off for seconds although the keeper could grant its units.
     """
 
-    class Dialling(Members):
+    class Connecting(Members):
         def link(self, instance: str) -> None:
             """Return None: the connection is still being opened."""
 
     async def run() -> None:
-        quota = _quotas(Dialling("cq-2", []))
+        quota = _quotas(Connecting("cq-2", []))
         await _spend_own(quota)
         taking = asyncio.create_task(quota.take(TEAM, Facts(20)))
         await asyncio.sleep(0.0)
@@ -271,7 +271,7 @@
     than half of its limit. The keeper must grant most of it.
     """
 
-    class Many(Members):
+    class LargeFleet(Members):
         reachable = 90
 
         def fleet_size(self) -> int:
@@ -279,10 +279,10 @@
 
     async def run() -> None:
         start = time.now
-        spent = await _spend_window(time, [_quotas(Many("cq-1", []))], 100)
+        spent = await _spend_window(time, [_quotas(LargeFleet("cq-1", []))], 100)
         assert spent >= 0.7 * BOUND
         time.now = start
-        spent += 89 * await _spend_window(time, [_quotas(Many("cq-0", []))], 100)
+        spent += 89 * await _spend_window(time, [_quotas(LargeFleet("cq-0", []))], 100)
         assert spent <= BOUND
 
     asyncio.run(run())
@@ -317,8 +317,8 @@
             taken = await quota.take(TEAM, Facts(20))
             assert taken is not None
             quota.give_back(taken)
-        untouched = await _spend(_quotas(Members("cq-1", [])), 20, 1000)
-        assert await _spend(quota, 20, 1000) == untouched > 0
+        unused_limit = await _spend(_quotas(Members("cq-1", [])), 20, 1000)
+        assert await _spend(quota, 20, 1000) == unused_limit > 0
 
     asyncio.run(run())
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -187,13 +187,13 @@
     """An owner without its permit repeats the demand, and gets no second permit."""
     shard = fakes.shard({"a": 8, "b": 8})
     policy = fakes.policy(shard)
-    lost, again = fakes.Owner(), fakes.Owner()
-    shard.add(fakes.demand("one"), lost)
+    first_link, second_link = fakes.Owner(), fakes.Owner()
+    shard.add(fakes.demand("one"), first_link)
     policy.serve()
     time.now += RENEW_SECONDS
-    shard.add(fakes.demand("one"), again)
+    shard.add(fakes.demand("one"), second_link)
     policy.serve()
-    assert again.permits() == lost.permits()
+    assert second_link.permits() == first_link.permits()
     assert len(shard.running) == 1
 
 
--- a/tests/test_quota_schedules.py
+++ b/tests/test_quota_schedules.py
@@ -91,7 +91,7 @@
         self.refused_share = refused_share
         self.random = random.Random(seed)
         self.partition = dict.fromkeys(NAMES, 0)
-        self.dead_until = dict.fromkeys(NAMES, -math.inf)
+        self.down_until = dict.fromkeys(NAMES, -math.inf)
         self.views: dict[str, View] = {}
         self.quotas: dict[str, quotas.Quotas] = {}
         self.spent: list[Spent] = []
@@ -116,7 +116,7 @@
 
     def reaches(self, source: str, target: str) -> bool:
         """Return whether two instances are alive and reach each other."""
-        if max(self.dead_until[source], self.dead_until[target]) > self.time.now:
+        if max(self.down_until[source], self.down_until[target]) > self.time.now:
             return False
         return self.partition[source] == self.partition[target]
 
@@ -125,9 +125,9 @@
         self.time.now += self.random.uniform(0.05, 0.6)
         is_changed = False
         for name in NAMES:
-            restarts_at = self.dead_until[name]
+            restarts_at = self.down_until[name]
             if math.isfinite(restarts_at) and restarts_at <= self.time.now:
-                self.dead_until[name] = -math.inf
+                self.down_until[name] = -math.inf
                 self.start(name, False)
                 is_changed = True
         if self.inject_fault() or is_changed:
@@ -149,7 +149,7 @@
     def notify_members_changed(self) -> None:
         """Notify every live instance of a membership change."""
         for name, view in self.views.items():
-            if self.dead_until[name] > self.time.now:
+            if self.down_until[name] > self.time.now:
                 continue
             for call in view.changed:
                 call()
@@ -157,12 +157,12 @@
     def kill(self, names: list[str]) -> None:
         """Kill processes; each restarts after half a second."""
         for name in names:
-            self.dead_until[name] = self.time.now + 0.5
+            self.down_until[name] = self.time.now + 0.5
 
     async def flood(self, wait: list[float]) -> None:
         """Send the team's requests to each live instance until it refuses one."""
         for name in self.random.sample(NAMES, len(NAMES)):
-            if self.dead_until[name] > self.time.now:
+            if self.down_until[name] > self.time.now:
                 continue
             for _ in range(40):
                 units = self.random.choice([5, 20, 90])
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -94,7 +94,7 @@
     assert not cold.is_cold("e2")
     cold.update(_fleet(e1=_server("e1"), e2=_server("e2", domain="leek")))
     assert cold.cold_servers() == ["e2"]
-    time.now += COLD_SECONDS + slow_start.REPORT_SECONDS + 0.01
+    time.now += COLD_SECONDS + slow_start.MAX_REPORT_DELAY_SECONDS + 0.01
     assert not cold.is_cold("e2")
 
 
@@ -121,7 +121,7 @@
     cold = _slow_start()
     cold.update(_fleet(e1=_server("e1")))
     cold.suspect_restart("e1")
-    time.now += COLD_SECONDS + slow_start.REPORT_SECONDS + 0.01
+    time.now += COLD_SECONDS + slow_start.MAX_REPORT_DELAY_SECONDS + 0.01
     assert not cold.is_cold("e1")
 
 
