--- a/packages/daemon/cassiaquay_daemon/decisions/budgets.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/budgets.py
@@ -61,6 +61,8 @@
         retries.add(1.0)
         return True
 
-    def _window(self, known: dict[str, windows.Window], service: str) -> windows.Window:
+    def _window(
+        self, by_service: dict[str, windows.Window], service: str
+    ) -> windows.Window:
         seconds = self._gateway.retry_window_seconds
-        return windows.window_of(known, service, seconds)
+        return windows.window_of(by_service, service, seconds)
--- a/packages/daemon/cassiaquay_daemon/decisions/loads.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/loads.py
@@ -5,7 +5,7 @@
 import typing
 
 # Engines report twice a second, and a report may be seconds old.
-MAX_KEPT_COUNTS = 16
+MAX_RECORDED_COUNTS = 16
 # Tolerance when a report is compared with this keeper's own count: requests on their
 # way to or from the server must not count as requests of other clients.
 REPORT_SLACK_SECONDS = 1.0
@@ -13,7 +13,7 @@
 
 
 class Prefill(typing.NamedTuple):
-    """A granted prompt for which the keeper has seen no first event yet."""
+    """A granted prompt whose first event has not been reported yet."""
 
     tokens: int
     granted_at: float
@@ -53,7 +53,7 @@
         self.count = 0
         self._report = Report(0, float("-inf"))
         self._counts: collections.deque[tuple[float, int]]
-        self._counts = collections.deque(maxlen=MAX_KEPT_COUNTS)
+        self._counts = collections.deque(maxlen=MAX_RECORDED_COUNTS)
         self.tokens = 0
         self.prefill_tokens = 0
         self._prefills: collections.OrderedDict[str, Prefill]
--- a/packages/daemon/cassiaquay_daemon/decisions/placement.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/placement.py
@@ -177,7 +177,7 @@
     demand: messages.Demand,
     deadline: float,
     views: list[View],
-    pressure: float = 0.0,
+    prefill_weight: float = 0.0,
     margin: float = MARGIN_FACTOR,
 ) -> Options:
     """Return the possible placements of a demand.
@@ -190,7 +190,7 @@
         Seconds on this clock.
     views : list of View
         The engines that it may use.
-    pressure : float
+    prefill_weight : float
         Weight of the engine time that the prefill takes from other requests.
     margin : float
         Factor by which the remaining time must exceed the estimated time.
@@ -209,7 +209,7 @@
     for view in views:
         if view.name in avoid:
             continue
-        choice = _choose(demand, tokens, view, pressure)
+        choice = _choose(demand, tokens, view, prefill_weight)
         min_seconds = min(min_seconds, _idle_seconds(demand, choice))
         if not in_time(choice.finish_seconds, left, margin):
             continue
@@ -253,12 +253,12 @@
 
 
 def _choose(
-    demand: messages.Demand, tokens: int, view: View, pressure: float
+    demand: messages.Demand, tokens: int, view: View, prefill_weight: float
 ) -> Choice:
     estimate = view.estimate
     cached, pending = view.find(demand)
     first = view.backlog + estimate.token_seconds
-    # Sent now, it would repeat a prefill that is in progress for another request.
+    # If granted now, it would repeat a prefill in progress for another request.
     is_prefix_pending = pending > cached + CHEAP_PREFILL_TOKENS
     if is_prefix_pending:
         cached = pending
@@ -272,7 +272,7 @@
     expensive_tokens = max(demand.prompt_tokens - cached - CHEAP_PREFILL_TOKENS, 0)
     cost = (
         finish
-        + pressure * expensive_tokens / estimate.prefill_rate
+        + prefill_weight * expensive_tokens / estimate.prefill_rate
         + view.occupancy_seconds
     )
     return Choice(view, cached, first, finish, reading, cost, fits)
--- a/packages/daemon/cassiaquay_daemon/keepers/baselines.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/baselines.py
@@ -32,7 +32,9 @@
         shard = self._shard
         for waiting in list(shard.queue.values()):
             avoid = waiting.demand.avoid
-            servers = [s for s in shard.open_servers() if s.name not in avoid]
+            servers = [
+                server for server in shard.open_servers() if server.name not in avoid
+            ]
             if not servers:
                 continue
             shard.grant(waiting, self._choose(waiting.demand, servers).name)
@@ -152,4 +154,4 @@
                 free.append(server)
         if not free:
             return None
-        return min(free, key=lambda s: shard.count_on(s.name) / s.slots)
+        return min(free, key=lambda server: shard.count_on(server.name) / server.slots)
--- a/packages/daemon/cassiaquay_daemon/keepers/floors.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/floors.py
@@ -48,7 +48,7 @@
     held_until: float = float("-inf")
 
 
-class Role(typing.Protocol):
+class KeeperRole(typing.Protocol):
     """The part of the keeper that floors use."""
 
     shards: dict[str, shards.Shard]
@@ -67,14 +67,17 @@
     ----------
     links : Peers
         Connections to other keepers.
-    local_keeper : Role
+    local_keeper : KeeperRole
         This instance's keeper role.
     pool_shards : Siblings
         The other shards of the pools and their keepers.
     """
 
     def __init__(
-        self, links: peers.Peers, local_keeper: Role, pool_shards: siblings.Siblings
+        self,
+        links: peers.Peers,
+        local_keeper: KeeperRole,
+        pool_shards: siblings.Siblings,
     ):
         self._local_keeper = local_keeper
         self._siblings = pool_shards
--- a/packages/daemon/cassiaquay_daemon/keepers/spillover.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/spillover.py
@@ -29,7 +29,7 @@
 MAX_MOVES = 2
 
 
-class Role(typing.Protocol):
+class KeeperRole(typing.Protocol):
     """The part of the keeper that spill-over uses."""
 
     shards: dict[str, shards.Shard]
@@ -65,14 +65,17 @@
     ----------
     links : Peers
         Connections to other keepers.
-    local_keeper : Role
+    local_keeper : KeeperRole
         This instance's keeper role.
     pool_shards : Siblings
         The other shards of the pools and their keepers.
     """
 
     def __init__(
-        self, links: peers.Peers, local_keeper: Role, pool_shards: siblings.Siblings
+        self,
+        links: peers.Peers,
+        local_keeper: KeeperRole,
+        pool_shards: siblings.Siblings,
     ):
         self._local_keeper = local_keeper
         self._siblings = pool_shards
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -302,17 +302,17 @@
 
     async def work() -> None:
         site = Site()
-        many = [
+        owners = [
             fakes.Owner(f"cq-{number}")
             for number in range(keeper.MAX_QUERIED_OWNERS + 8)
         ]
-        site.members.owners = {owner.instance: owner for owner in many}
+        site.members.owners = {owner.instance: owner for owner in owners}
         for _ in range(20):
             time.now += keeper.TICK_SECONDS
             site.keeper.tick_once()
-        site.keeper.demand(many[0], fakes.demand("first"))
+        site.keeper.demand(owners[0], fakes.demand("first"))
         await _run_pending()
-        assert "first" in many[0].permits()
+        assert "first" in owners[0].permits()
 
     _run(work)
 
--- a/tests/test_spillover.py
+++ b/tests/test_spillover.py
@@ -151,12 +151,12 @@
     pool = Pool()
     pool.fill()
     pool.report_waits(THERE, (0, 0.0, 0.0))
-    pool.demand("tired", moves=spillover.MAX_MOVES)
+    pool.demand("moved", moves=spillover.MAX_MOVES)
     pool.policy.serve()
     assert not pool.moved()
 
 
-def test_keeper_announces_its_waits(time) -> None:
+def test_keeper_reports_its_waits(time) -> None:
     pool = Pool()
     pool.demand("first")
     pool.policy.serve()
