--- a/packages/daemon/cassiaquay_daemon/decisions/placement.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/placement.py
@@ -68,10 +68,13 @@
 
     def find(self, demand: messages.Demand) -> affinity.CachedPrefix:
         """Return how much of a demand's prompt the engine caches, now and soon."""
-        found = self.engine.index.find(demand.id, demand.blocks, demand.block_count)
+        cached_prefix = self.engine.index.find(
+            demand.id, demand.blocks, demand.block_count
+        )
         prompt_tokens = demand.prompt_tokens
         return affinity.CachedPrefix(
-            min(found.cached, prompt_tokens), min(found.pending, prompt_tokens)
+            min(cached_prefix.cached, prompt_tokens),
+            min(cached_prefix.pending, prompt_tokens),
         )
 
     def fits(self, tokens: int) -> bool:
@@ -174,7 +177,7 @@
     demand: messages.Demand,
     deadline: float,
     views: list[View],
-    pressure: float = 0.0,
+    prefill_weight: float = 0.0,
     margin: float = MARGIN_FACTOR,
 ) -> Options:
     """Return the possible placements of a demand.
@@ -187,7 +190,7 @@
         Seconds on this clock.
     views : list of View
         The engines that it may use.
-    pressure : float
+    prefill_weight : float
         Weight of the engine time that the prefill takes from other requests.
     margin : float
         Factor by which the remaining time must exceed the estimated time.
@@ -206,7 +209,7 @@
     for view in views:
         if view.name in avoid:
             continue
-        choice = _choose(demand, tokens, view, pressure)
+        choice = _choose(demand, tokens, view, prefill_weight)
         min_seconds = min(min_seconds, _idle_seconds(demand, choice))
         if not in_time(choice.finish_seconds, left, margin):
             continue
@@ -233,9 +236,9 @@
         estimate = view.estimate
         cached = max(view.find(demand))
         step = estimate.floor_seconds * estimate.prefill_rate
-        found = float(max(demand.prompt_tokens - cached, 0))
-        found += demand.output_tokens * step / view.engine.server.slots
-        min_seconds = found if not number else min(min_seconds, found)
+        engine_work = float(max(demand.prompt_tokens - cached, 0))
+        engine_work += demand.output_tokens * step / view.engine.server.slots
+        min_seconds = engine_work if not number else min(min_seconds, engine_work)
     return max(int(min_seconds), 1)
 
 
@@ -250,12 +253,12 @@
 
 
 def _choose(
-    demand: messages.Demand, tokens: int, view: View, pressure: float
+    demand: messages.Demand, tokens: int, view: View, prefill_weight: float
 ) -> Choice:
     estimate = view.estimate
     cached, pending = view.find(demand)
     first = view.backlog + estimate.token_seconds
-    # Sent now, it would repeat a prefill that is in progress for another request.
+    # If granted now, it would repeat a prefill in progress for another request.
     is_prefix_pending = pending > cached + CHEAP_PREFILL_TOKENS
     if is_prefix_pending:
         cached = pending
@@ -269,7 +272,7 @@
     expensive_tokens = max(demand.prompt_tokens - cached - CHEAP_PREFILL_TOKENS, 0)
     cost = (
         finish
-        + pressure * expensive_tokens / estimate.prefill_rate
+        + prefill_weight * expensive_tokens / estimate.prefill_rate
         + view.occupancy_seconds
     )
     return Choice(view, cached, first, finish, reading, cost, fits)
--- a/packages/daemon/cassiaquay_daemon/decisions/tiered.py
+++ b/packages/daemon/cassiaquay_daemon/decisions/tiered.py
@@ -14,14 +14,14 @@
 MAX_WEIGHED_DEMANDS = 64
 # After a tier was shed for overload, no tier below it gets a grant for this long.
 FLOOR_SECONDS = 0.5
-# The other shards of the pool are asked to hold back lower tiers this long before a
-# shed.
+# Time before a shed at which the shard requests the pool's other shards to hold lower
+# tiers back.
 NOTICE_SECONDS = 0.05
 # With more demands than this in the queue, engine time spent on prefill delays others
 # and gets the higher weight.
-PRESSURE_QUEUE_LENGTH = 8
-PRESSURE = 20.0
-IDLE_PRESSURE = 1.0
+BUSY_QUEUE_LENGTH = 8
+BUSY_PREFILL_WEIGHT = 20.0
+IDLE_PREFILL_WEIGHT = 1.0
 
 
 @policies.policies.register(NAME)
@@ -63,7 +63,7 @@
         self._queues.remove(waiting)
         demand = waiting.demand
         for engine in self._engines.values():
-            engine.index.forget(demand.id)
+            engine.index.drop_memoized(demand.id)
         members = self._sessions.get(demand.session)
         if members is not None:
             members.pop(demand.id, None)
@@ -172,10 +172,10 @@
         """Return each open server's estimate for a demand, for operators."""
         now = clock.now()
         self._update_engines(now)
-        found = []
+        estimates = []
         for view in self._view_engines(now):
             choice = placement.choose(demand, view)
-            found.append(
+            estimates.append(
                 policies.ServerEstimate(
                     view.name,
                     choice.fits,
@@ -185,7 +185,7 @@
                     int(view.engine.speed.limit),
                 )
             )
-        return found
+        return estimates
 
     def _update_engines(self, now: float) -> None:
         start_tokens = self._shard.settings.keeper.start_tokens
@@ -201,15 +201,15 @@
                 del self._engines[name]
 
     def _view_engines(self, now: float) -> list[placement.View]:
-        found = []
+        views = []
         servers = self._shard.open_servers()
         # A server that refuses connections is idle and would be preferred for every
         # request. When all servers refuse, any of them may be tried.
         reachable = [item for item in servers if not self._shard.is_refusing(item.name)]
         for server in reachable or servers:
             engine = self._engines[server.name]
-            found.append(placement.View(engine, self._shard, now))
-        return found
+            views.append(placement.View(engine, self._shard, now))
+        return views
 
     def _shed_infeasible(self, views: list[placement.View], now: float) -> None:
         """Check new demands once, and shed those that cannot be in time."""
@@ -236,7 +236,8 @@
             waiting = self._shard.queue.get(request_id)
             if waiting is None:
                 continue
-            # Asks the other shards to hold lower tiers back, `NOTICE_SECONDS` early.
+            # Requests the other shards to hold lower tiers back, `NOTICE_SECONDS`
+            # before the shed.
             may_shed = self._shard.may_shed(waiting.demand.rank)
             if start_by > now or not may_shed:
                 not_yet.append((start_by, request_id))
@@ -259,8 +260,8 @@
         while len(self._queues) > limit:
             waiting = self._shard.queue[self._queues.last()]
             if not self._shard.may_shed(waiting.demand.rank):
-                # The other shards of the pool are being asked to hold lower tiers
-                # back; the queue exceeds its limit until they answer.
+                # Requests to the pool's other shards to hold lower tiers back are
+                # pending; the queue exceeds its limit until they answer.
                 return
             before = self._queues.work_before(waiting.demand.id)
             wait = self._drain.wait_seconds(waiting.demand.rank, before)
@@ -314,7 +315,7 @@
             waiting = self._shard.queue[request_id]
             margin = self._shard.margins.get(rank, placement.MARGIN_FACTOR)
             options = placement.weigh(
-                waiting.demand, waiting.deadline, views, self._pressure(), margin
+                waiting.demand, waiting.deadline, views, self._prefill_weight(), margin
             )
             if options.best is not None:
                 self._grant(waiting, options.best)
@@ -329,8 +330,12 @@
             reserved.add(options.awaited.view.name)
         return False
 
-    def _pressure(self) -> float:
-        return PRESSURE if len(self._queues) > PRESSURE_QUEUE_LENGTH else IDLE_PRESSURE
+    def _prefill_weight(self) -> float:
+        return (
+            BUSY_PREFILL_WEIGHT
+            if len(self._queues) > BUSY_QUEUE_LENGTH
+            else IDLE_PREFILL_WEIGHT
+        )
 
     def _grant(self, waiting: shards.Waiting, choice: placement.Choice) -> None:
         demand = waiting.demand
--- a/packages/daemon/cassiaquay_daemon/keepers/demands.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/demands.py
@@ -16,8 +16,8 @@
 from ..links import peers
 from . import keeper, sending
 
-# Period of reports of dispatches and first events. A keeper delays grants until it
-# learns that dispatched prompts have been read, so a longer period idles engines.
+# Period of reports of dispatches and first events. A keeper delays grants until
+# reports show that dispatched prompts have been read, so a longer period idles engines.
 PROGRESS_SECONDS = 0.02
 
 
@@ -144,8 +144,8 @@
         deadline : float
             Seconds on this clock.
         patience : float, optional
-            Raise KeeperSilent when the keeper sends no acknowledgement for this many
-            seconds.
+            Raise KeeperUnresponsive when the keeper sends no acknowledgement for this
+            many seconds.
         """
         future: asyncio.Future[Permission] = asyncio.get_running_loop().create_future()
         demand = self._with_estimates(demand)
@@ -233,7 +233,7 @@
                 self._report_progress(shard)
 
     async def _wait_acknowledged(self, name: str, patience: float) -> None:
-        """Return when the demand is decided; raise KeeperSilent without a reply."""
+        """Return when the demand is decided; raise KeeperUnresponsive otherwise."""
         future = self._pending[name].future
         while True:
             checked_at = clock.now()
@@ -330,9 +330,9 @@
             self._return_permit(replier, permit)
             return
         if pending.future.done() or permit.server in pending.demand.avoid:
-            # A duplicate, or a permit granted before the keeper learnt that this server
-            # refused a connection. The keeper has learnt it by now, or the permit
-            # expires.
+            # A duplicate, or a permit granted before the keeper received the report
+            # that this server refused a connection. The keeper has received it by now,
+            # or the permit expires.
             return
         if self._was_paused() or clock.now() < self._rejects_permits_until:
             # This process was paused. The permit may be as old as the pause, and the
--- a/packages/daemon/cassiaquay_daemon/keepers/floors.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/floors.py
@@ -2,8 +2,9 @@
 
 A pool of more than 16 backend servers has several shards, each with its own keeper.
 Strict priority within each shard does not prevent one shard from shedding a tier while
-another still serves a lower one. So a keeper that has to shed first asks the keepers of
-the pool's other shards to hold lower tiers back, and sheds when all of them do.
+another still serves a lower one. So before a keeper sheds, it sends a request to hold
+lower tiers back to the keepers of the pool's other shards, and sheds when all of them
+have accepted it.
 """
 
 import typing
@@ -47,7 +48,7 @@
     held_until: float = float("-inf")
 
 
-class Role(typing.Protocol):
+class KeeperRole(typing.Protocol):
     """The part of the keeper that floors use."""
 
     shards: dict[str, shards.Shard]
@@ -66,14 +67,17 @@
     ----------
     links : Peers
         Connections to other keepers.
-    local_keeper : Role
+    local_keeper : KeeperRole
         This instance's keeper role.
     pool_shards : Siblings
         The other shards of the pools and their keepers.
     """
 
     def __init__(
-        self, links: peers.Peers, local_keeper: Role, pool_shards: siblings.Siblings
+        self,
+        links: peers.Peers,
+        local_keeper: KeeperRole,
+        pool_shards: siblings.Siblings,
     ):
         self._local_keeper = local_keeper
         self._siblings = pool_shards
--- a/packages/daemon/cassiaquay_daemon/keepers/spillover.py
+++ b/packages/daemon/cassiaquay_daemon/keepers/spillover.py
@@ -25,11 +25,11 @@
 REPORT_LIFETIME_SECONDS = 0.3
 # Least gain for a move: covers the transfer and the error of the estimate.
 GAIN_SECONDS = 0.03
-# Keeps shards that are all full from passing a demand round.
+# Keeps full shards from moving a demand among themselves again and again.
 MAX_MOVES = 2
 
 
-class Role(typing.Protocol):
+class KeeperRole(typing.Protocol):
     """The part of the keeper that spill-over uses."""
 
     shards: dict[str, shards.Shard]
@@ -65,14 +65,17 @@
     ----------
     links : Peers
         Connections to other keepers.
-    local_keeper : Role
+    local_keeper : KeeperRole
         This instance's keeper role.
     pool_shards : Siblings
         The other shards of the pools and their keepers.
     """
 
     def __init__(
-        self, links: peers.Peers, local_keeper: Role, pool_shards: siblings.Siblings
+        self,
+        links: peers.Peers,
+        local_keeper: KeeperRole,
+        pool_shards: siblings.Siblings,
     ):
         self._local_keeper = local_keeper
         self._siblings = pool_shards
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -11,7 +11,7 @@
 from cassiaquay_schema import messages
 
 RENEW_SECONDS = 0.7
-RUNS = messages.Outstanding("runs", "", "", 0, "tutor-1", 40, 20)
+RUNNING_REQUEST = messages.Outstanding("runs", "", "", 0, "tutor-1", 40, 20)
 
 
 class Site:
@@ -187,13 +187,13 @@
     """An owner without its permit repeats the demand, and gets no second permit."""
     shard = fakes.shard({"a": 8, "b": 8})
     policy = fakes.policy(shard)
-    lost, again = fakes.Owner(), fakes.Owner()
-    shard.add(fakes.demand("one"), lost)
+    first_link, second_link = fakes.Owner(), fakes.Owner()
+    shard.add(fakes.demand("one"), first_link)
     policy.serve()
     time.now += RENEW_SECONDS
-    shard.add(fakes.demand("one"), again)
+    shard.add(fakes.demand("one"), second_link)
     policy.serve()
-    assert again.permits() == lost.permits()
+    assert second_link.permits() == first_link.permits()
     assert len(shard.running) == 1
 
 
@@ -249,7 +249,7 @@
     async def work() -> None:
         site = Site(keeps=False)
         late = fakes.Owner("cq-2")
-        site.demands.dispatched(fakes.SHARD, RUNS, answers.Answer())
+        site.demands.dispatched(fakes.SHARD, RUNNING_REQUEST, answers.Answer())
         permit = messages.Permit("runs", "tutor-1", 1500, fakes.SHARD)
         site.demands.answer(late, permit)
         assert late.sent == []
@@ -279,7 +279,7 @@
     async def work() -> None:
         site = Site(keeps=False)
         answer = answers.Answer()
-        site.demands.dispatched(fakes.SHARD, RUNS, answer)
+        site.demands.dispatched(fakes.SHARD, RUNNING_REQUEST, answer)
         reporting = asyncio.create_task(site.demands.report())
         await asyncio.sleep(0.07)
         answer.append(b"{}")
@@ -302,17 +302,17 @@
 
     async def work() -> None:
         site = Site()
-        many = [
+        owners = [
             fakes.Owner(f"cq-{number}")
             for number in range(keeper.MAX_QUERIED_OWNERS + 8)
         ]
-        site.members.owners = {owner.instance: owner for owner in many}
+        site.members.owners = {owner.instance: owner for owner in owners}
         for _ in range(20):
             time.now += keeper.TICK_SECONDS
             site.keeper.tick_once()
-        site.keeper.demand(many[0], fakes.demand("first"))
+        site.keeper.demand(owners[0], fakes.demand("first"))
         await _run_pending()
-        assert "first" in many[0].permits()
+        assert "first" in owners[0].permits()
 
     _run(work)
 
