--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -141,7 +141,7 @@
     """Guards against a refusal that waits indefinitely for an unreachable keeper.
 
     A partition separates the keepers of a pool. The shed is delayed by at most
-    `floors.PATIENCE_SECONDS`: whether the other keeper serves lower tiers is unknown.
+    `floors.ANSWER_TIMEOUT_SECONDS`, as the other keeper may serve lower tiers.
     """
 
     async def work() -> None:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -209,7 +209,7 @@
     assert site.configured.pools["chat"][0].started_ms == 2000
 
 
-def test_news_is_told_at_once(time) -> None:
+def test_changed_server_lists_are_sent_at_once(time) -> None:
     site = Site(_entry("i-1"))
     site.read()
     sent = site.members.owners["cq-2"].sent
