--- a/packages/daemon/cassiaquay_daemon/adapters/backends.py
+++ b/packages/daemon/cassiaquay_daemon/adapters/backends.py
@@ -233,7 +233,7 @@
             except exceptions.StreamInterrupted as error:
                 error_type = type(error)
                 await asyncio.sleep(RESUME_PAUSE_SECONDS)
-        raise error_type(f"the stream of {server.name} could not be resumed")
+        raise error_type(f"the stream of {server.name} broke off for good")
 
 
 @backends.register("plain-http")
@@ -318,7 +318,7 @@
                 # A missing or repeated event would change the answer.
                 raise exceptions.StreamInterrupted(f"event out of order: {head[:40]!r}")
             answer.append(payload)
-    raise exceptions.StreamInterrupted("the stream ended without its done event")
+    raise exceptions.StreamInterrupted("the stream ended without its last event")
 
 
 def _final_usage(payload: bytes, answer: answers.Answer) -> TokenUsage:
@@ -327,7 +327,5 @@
     except msgspec.DecodeError as error:
         raise exceptions.StreamInterrupted(str(error)) from error
     if done["count"] != answer.count:
-        raise exceptions.StreamInterrupted(
-            f"got {answer.count} events of {done['count']}"
-        )
+        raise exceptions.StreamInterrupted(f"{answer.count} events of {done['count']}")
     return TokenUsage(done["prompt_tokens"], done["cached_tokens"], answer.count)
--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -156,14 +156,14 @@
 
 
 class BadId(CallRejected):
-    """The request id is malformed, or its token was not issued by this fleet."""
+    """The request id is malformed, or its token is not one of ours."""
 
     code = "bad_id"
     status = http.HTTPStatus.BAD_REQUEST
 
 
 class TooLarge(CallRejected):
-    """The body exceeds the size limit."""
+    """The body is larger than allowed."""
 
     code = "too_large"
     status = http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE
@@ -177,59 +177,59 @@
 
 
 class Forbidden(CallRejected):
-    """The team is not allowed to make this call."""
+    """The team may not do this."""
 
     code = "forbidden"
     status = http.HTTPStatus.FORBIDDEN
 
 
 class UnknownId(CallRejected):
-    """The instance that owns the request id has no record of it."""
+    """The owner of the id has never seen it."""
 
     code = "unknown_id"
     status = http.HTTPStatus.NOT_FOUND
 
 
 class NoRoute(CallRejected):
-    """No route of this host matches the path."""
+    """No route begins the path on this host."""
 
     code = "no_route"
     status = http.HTTPStatus.NOT_FOUND
 
 
 class NoServers(Refusal):
-    """The service has no known backend server."""
+    """No backend server of the service is known."""
 
     code = "no_servers"
 
 
 class Shed(Refusal):
-    """Shed under overload in favour of more important requests."""
+    """Overload: more important work has the capacity."""
 
     code = "shed_overload"
 
 
 class DeadlineInfeasible(Refusal):
-    """The response could not be completed before the deadline."""
+    """The answer could not be whole before the deadline."""
 
     code = "deadline_infeasible"
 
 
 class Quarantined(Refusal):
-    """The request has crashed several servers and is quarantined."""
+    """The request has crashed several servers; it is not sent to another one."""
 
     code = "crashes_servers"
 
 
 class LimitReached(Refusal):
-    """A limit of the team or service has been reached."""
+    """A limit of the team or service is reached."""
 
     code = "limit_reached"
     status = http.HTTPStatus.TOO_MANY_REQUESTS
 
 
 class TableFull(Refusal):
-    """The instance's table of requests is full."""
+    """The instance holds too many requests."""
 
     code = "table_full"
 
@@ -242,7 +242,7 @@
 
 
 class PreviouslyRefused(Refusal):
-    """A request with this id was refused earlier; the refusal is final."""
+    """The request was refused before and stays refused."""
 
     code = "refused_before"
 
@@ -261,13 +261,13 @@
 
 
 class CallerDisconnected(Refusal):
-    """The caller stayed disconnected longer than the grace time."""
+    """The caller's connection was gone for longer than the grace time."""
 
     code = "caller_gone"
 
 
 class Cancelled(Refusal):
-    """The caller cancelled the request while it was queued."""
+    """The caller gave the request up while it waited."""
 
     code = "cancelled"
 
@@ -279,13 +279,13 @@
 
 
 class DependencyDown(Refusal):
-    """A service that this one depends on is unavailable."""
+    """A service that this one depends on cannot serve."""
 
     code = "dependency_unavailable"
 
 
 class OutcomeUnknown(Refusal):
-    """The request may have run; no reachable process knows its outcome."""
+    """The request may have run; nobody that could be asked knows."""
 
     code = "outcome_unknown"
     outcome = "outcome_unknown"
@@ -293,19 +293,19 @@
 
 
 class TokenExpired(OutcomeUnknown):
-    """The token in the request id expired before the owner received the request."""
+    """The id's token expired before the owner first saw it."""
 
     code = "token_expired"
 
 
 class OwnerLost(OutcomeUnknown):
-    """The owner has failed and no engine has the stream."""
+    """The owner is gone and no engine holds the stream."""
 
     code = "owner_gone"
 
 
 class AnswerLost(OutcomeUnknown):
-    """The request was sent, but its response was interrupted and not recovered."""
+    """The request was sent and its answer broke off for good."""
 
     code = "answer_lost"
 
@@ -317,7 +317,7 @@
 
 
 class AnswerExpired(Refusal):
-    """The request completed; its response is no longer stored."""
+    """The request completed; its answer is not kept any more."""
 
     code = "answer_forgotten"
     outcome = "completed"
@@ -325,7 +325,7 @@
 
 
 class BackendFailed(Refusal):
-    """The request ran and the backend server returned an error."""
+    """The request ran and the backend server said no."""
 
     code = "backend_failed"
     outcome = "failed"
@@ -333,20 +333,20 @@
 
 
 class BadQuery(CallRejected):
-    """A query parameter is malformed."""
+    """A parameter of the URL is malformed."""
 
     code = "bad_query"
 
 
 class UnsupportedContentType(CallRejected):
-    """The content type of the body is not application/json."""
+    """The body is not of the type application/json."""
 
     code = "wrong_content_type"
     status = http.HTTPStatus.UNSUPPORTED_MEDIA_TYPE
 
 
 class HeadersTooLarge(CallRejected):
-    """The headers or the URL exceed the size limit."""
+    """The headers or the URL are larger than allowed."""
 
     code = "headers_too_large"
     status = http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
@@ -360,33 +360,33 @@
 
 
 class NotFinished(CallRejected):
-    """A request that has not finished cannot be acknowledged."""
+    """A request under way cannot be acknowledged."""
 
     code = "not_finished"
     status = http.HTTPStatus.CONFLICT
 
 
 class IdConflict(OutcomeUnknown):
-    """The id is in use by a request with another body; this call had no effect."""
+    """The id belongs to a request with another body; this one did nothing."""
 
     code = "id_conflict"
     status = http.HTTPStatus.CONFLICT
 
 
 class CancelledWhileRunning(OutcomeUnknown):
-    """The caller cancelled the request while it was running."""
+    """The caller gave the request up while it ran."""
 
     code = "cancelled_running"
 
 
 class CallerDisconnectedWhileRunning(OutcomeUnknown):
-    """The caller stayed disconnected past the grace time while the request ran."""
+    """The caller's connection was gone for longer than the grace time."""
 
     code = "caller_gone_running"
 
 
 class InternalError(Refusal):
-    """An internal error of the daemon ended the request before it was sent."""
+    """An error in the daemon itself ended the request before it was sent."""
 
     code = "internal_error"
 
--- a/packages/daemon/cassiaquay_daemon/gateway/accepting.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/accepting.py
@@ -51,7 +51,7 @@
         if snapshot is None or snapshot.routes is None:
             raise exceptions.NotReady(retry_after_ms=NOT_READY_RETRY_MS)
         if not parsed.attempt:
-            raise exceptions.BadRequest("the attempt id header is missing")
+            raise exceptions.BadRequest("an id of the attempt is needed")
         target = scope["raw_path"].decode("latin-1")
         route = snapshot.routes.find(parsed.host, target)
         if route is None or not route.shares:
--- a/packages/daemon/cassiaquay_daemon/gateway/admission.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/admission.py
@@ -115,7 +115,7 @@
         server = call.snapshot.open_server(call.service, permission.server)
         if server is None:
             self._demands.give_back(demand)
-            raise exceptions.NotSent("the server is not in this instance's snapshot")
+            raise exceptions.NotSent("the server is not in force here")
         return Ticket(demand, server, permission.expires_at, Tally(), False)
 
     def report_dispatched(self, ticket: Ticket) -> None:
--- a/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/forwarding.py
@@ -125,9 +125,7 @@
         if answer_headers.get(headers.ATTEMPT.decode(), "") != call.parsed.attempt:
             # A surplus answer on a kept-alive connection belongs to an earlier request
             # and may be another caller's.
-            raise exceptions.StreamInterrupted(
-                "the answer does not carry this attempt's id"
-            )
+            raise exceptions.StreamInterrupted("the answer is not of this request")
         return Answer(
             response, response.status, headers.towards_caller(answer_headers.items())
         )
--- a/packages/daemon/cassiaquay_daemon/gateway/serving.py
+++ b/packages/daemon/cassiaquay_daemon/gateway/serving.py
@@ -182,7 +182,7 @@
             raise exceptions.AnswerLost() from error
         self._check_quarantine(state)
         if not self._parts.budget.take(call.service):
-            raise exceptions.AnswerLost("the retry budget is exhausted") from error
+            raise exceptions.AnswerLost("the budget of repeats is spent") from error
 
     async def _dispatch_once(
         self, state: progress.RequestState, send: replies.Send
@@ -277,13 +277,13 @@
             raise exceptions.NotSent("the permit has expired")
         snapshot = self._parts.configured.current
         if snapshot is None or snapshot.routes is None:
-            raise exceptions.NotSent("there is no configuration")
+            raise exceptions.NotSent("no configuration")
         if snapshot.open_server(call.service, ticket.server.name) is None:
-            raise exceptions.NotSent("the server is deregistered or evacuated")
+            raise exceptions.NotSent("the server has left or is evacuated")
         if snapshot is call.snapshot or _is_allowed(call, snapshot.routes):
             return
         raise exceptions.NotReady(
-            "the route or key was removed", retry_after_ms=accepting.NOT_READY_RETRY_MS
+            "the route or key has gone", retry_after_ms=accepting.NOT_READY_RETRY_MS
         )
 
     def _check_quarantine(self, state: progress.RequestState) -> None:
@@ -371,7 +371,7 @@
     if state.may_have_run:
         return exceptions.AnswerLost()
     return exceptions.ServerDeclined(
-        "no server accepted the request", retry_after_ms=UNREACHABLE_RETRY_MS
+        "no server took it", retry_after_ms=UNREACHABLE_RETRY_MS
     )
 
 
--- a/packages/daemon/cassiaquay_daemon/interface/bodies.py
+++ b/packages/daemon/cassiaquay_daemon/interface/bodies.py
@@ -25,9 +25,7 @@
     except TimeoutError as error:
         raise exceptions.BodyTimeout() from error
     except web_requests.ClientDisconnect as error:
-        raise exceptions.BodyTimeout(
-            "the caller disconnected within the body"
-        ) from error
+        raise exceptions.BodyTimeout("the caller left before the body ended") from error
     if body and _content_type(request) != JSON_TYPE:
         raise exceptions.UnsupportedContentType()
     return body
--- a/packages/daemon/cassiaquay_daemon/interface/relay.py
+++ b/packages/daemon/cassiaquay_daemon/interface/relay.py
@@ -136,7 +136,7 @@
                 {request_task, watching_owner}, return_when=asyncio.FIRST_COMPLETED
             )
             if not request_task.done():
-                raise OwnerUnreachable("the owner left the membership or restarted")
+                raise OwnerUnreachable("not heard of any more")
             self.passed += 1
             return RelayedResponse(request_task.result(), is_gone)
         finally:
--- a/packages/daemon/cassiaquay_daemon/interface/web.py
+++ b/packages/daemon/cassiaquay_daemon/interface/web.py
@@ -265,9 +265,7 @@
 def _team(request: web_requests.Request, snapshot: snapshots.Snapshot) -> str:
     scheme, _, credential = request.headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer":
-        raise exceptions.Unauthorized(
-            "an Authorization header of type Bearer is missing"
-        )
+        raise exceptions.Unauthorized("an Authorization header of type Bearer")
     team = snapshot.team_of(credential)
     if team is None:
         raise exceptions.Unauthorized()
@@ -277,7 +275,7 @@
 def _first_event_number(request: web_requests.Request) -> int:
     text = request.query_params.get("from", "0")
     if not text.isdecimal() or len(text) > 9:
-        raise exceptions.BadQuery("from: must be a number of events")
+        raise exceptions.BadQuery("from: a number of events")
     return int(text)
 
 
--- a/packages/daemon/cassiaquay_daemon/operators/admin.py
+++ b/packages/daemon/cassiaquay_daemon/operators/admin.py
@@ -279,7 +279,7 @@
     if not text:
         return default
     if not text.isascii() or not text.isdecimal() or len(text) > 9:
-        raise exceptions.AdminBadRequest(f"{name}: must be a non-negative integer")
+        raise exceptions.AdminBadRequest(f"{name}: a whole number")
     return min(int(text), limit)
 
 
--- a/packages/daemon/cassiaquay_daemon/operators/explain.py
+++ b/packages/daemon/cassiaquay_daemon/operators/explain.py
@@ -65,8 +65,8 @@
         member = self._parts.membership.find(request_id.instance)
         if member is None or member.incarnation != request_id.incarnation:
             raise exceptions.AdminNotFound(
-                f"its owner, {request_id.instance} in incarnation"
-                f" {request_id.incarnation}, is gone, and its records with it"
+                f"its owner, {request_id.instance} in its life"
+                f" {request_id.incarnation}, is gone; with it went what it knew"
             )
         body = await self._fetch(member, f"/v1/explain?id={text}", authorization)
         return msgspec.json.decode(body, type=bodies.Explanation)
@@ -127,7 +127,7 @@
     ) -> bodies.Explanation:
         entry = self._parts.owned.table.get(text)
         if entry is None or (viewer.team and entry.accepted.team != viewer.team):
-            raise exceptions.AdminNotFound("its owner has no record of this id")
+            raise exceptions.AdminNotFound("its owner does not know this id")
         accepted = entry.accepted
         reasons = _limit_reasons(accepted.snapshot, accepted.service, accepted.team)
         reasons.extend(_progress_reasons(entry))
@@ -207,7 +207,7 @@
             body = await self._fetch(member, target, authorization)
             return msgspec.json.decode(body, type=bodies.Placement)
         except exceptions.AdminRefusal as error:
-            reasons.append(f"no placement from the keeper, {keeper}: {error}")
+            reasons.append(f"the keeper, {keeper}, could not tell: {error}")
             return None
 
     async def _fetch(
@@ -215,7 +215,7 @@
     ) -> bytes:
         if not member.admin:
             raise exceptions.AdminInstanceUnreachable(
-                f"{member.instance} announces no operators' address"
+                f"{member.instance} has no such address"
             )
         headers = {"Authorization": authorization} if authorization else {}
         timeout = aiohttp.ClientTimeout(total=FETCH_TIMEOUT_SECONDS)
@@ -264,7 +264,7 @@
 
 
 def _progress_reasons(entry: owner.Entry) -> list[str]:
-    reasons = [f"accepted {clock.now() - entry.accepted_at:.3f} s ago"]
+    reasons = [f"waited for or ran {clock.now() - entry.accepted_at:.3f} s"]
     if entry.server:
         reasons.append(f"dispatched to {entry.server}")
     if entry.refusal is not None:
@@ -275,5 +275,5 @@
             *reasons[1:],
         ]
     elif not entry.server:
-        reasons.append("waits for a permit from its keeper")
+        reasons.append("waits for a permit of its keeper")
     return reasons
