--- a/packages/daemon/cassiaquay_daemon/exceptions.py
+++ b/packages/daemon/cassiaquay_daemon/exceptions.py
@@ -1,7 +1,8 @@
 """Exceptions of the daemon: one base class, a group per layer, a stable code each.
 
 docs/ERRORS.md lists the codes. A layer raises its own exceptions and converts those of
-the layer below. The first docstring line of a ``Refusal`` is its default message.
+the layer below. The first docstring line of a ``Refusal`` is its default message, which
+is sent to callers.
 """
 
 import http
